--- a/crates/core/src/engine_signals/mod.rs
+++ b/crates/core/src/engine_signals/mod.rs
@@ -2,7 +2,7 @@
 
 mod register;
 
-pub use register::{LONGEST_BACKOFF, SignalRegister};
+pub use register::{MAX_BACKOFF, SignalRegister};
 
 use crate::rate_limit::AnsweredLimit;
 use std::time::Duration;
--- a/crates/core/src/engine_signals/register.rs
+++ b/crates/core/src/engine_signals/register.rs
@@ -9,7 +9,7 @@
 const MOST_DRAINING: usize = 20_000;
 
 /// Longest backoff that is believed; an engine that wants more says so again.
-pub const LONGEST_BACKOFF: Duration = Duration::from_secs(60);
+pub const MAX_BACKOFF: Duration = Duration::from_secs(60);
 
 /// What engines said of themselves, by start of the engine. Independent of the list of engines: an entry that is behind, or
 /// comes back, revokes nothing that the engine itself has said.
@@ -50,7 +50,7 @@
         now: MonotonicTime,
     ) -> MonotonicTime {
         self.backoffs.retain(|_, until| *until > now);
-        let asked = now + backoff.min(LONGEST_BACKOFF);
+        let asked = now + backoff.min(MAX_BACKOFF);
         let until = self.backoffs.entry(engine).or_insert(asked);
         *until = (*until).max(asked);
         *until
--- a/crates/core/src/placing/placement_table.rs
+++ b/crates/core/src/placing/placement_table.rs
@@ -14,8 +14,8 @@
 use crate::membership::subject::SubjectHandle;
 use crate::rate_limit::max_wait::Waiting;
 use crate::routing::pool::{
-    Admission, LATE_RANK, OutputWay, PoolAdmission, PoolEngine, PoolQuery, PoolRoute, PoolRouter, PoolTicket,
-    PrefixBlock, Timing,
+    Admission, KvCacheSource, LATE_RANK, PoolAdmission, PoolEngine, PoolQuery, PoolRoute, PoolRouter,
+    PoolTicket, PrefixBlock, Timing,
 };
 use crate::sharing::Charge;
 use crate::time::MonotonicTime;
@@ -190,7 +190,7 @@
                 if let Some(told) = told {
                     router.on_told(ticket.engine(), *told, now);
                 }
-                router.on_prompt_read(&ticket, &self.prefixes, now);
+                router.on_prompt_prefilled(&ticket, &self.prefixes, now);
             }
             (Counted::Prompt(ticket) | Counted::Output(ticket), _) => router.on_abandoned(&ticket),
             (Counted::Nothing, _) => {}
@@ -269,7 +269,8 @@
         match route {
             PoolRoute::Whole(engine) => {
                 let chosen = self.chosen(router, key, &engine, now);
-                let ticket = router.on_output_sent(&engine.id, &self.query(key, &[]), OutputWay::Reads, now);
+                let ticket =
+                    router.on_output_sent(&engine.id, &self.query(key, &[]), KvCacheSource::Prefill, now);
                 self.counted = Counted::Output(ticket);
                 Placement::One(chosen)
             }
@@ -307,7 +308,7 @@
         };
         let mut chosen = self.chosen(router, key, &engine, now);
         chosen.fetch_from = None;
-        let ticket = router.on_output_sent(&engine.id, &self.query(key, &[]), OutputWay::Fetches, now);
+        let ticket = router.on_output_sent(&engine.id, &self.query(key, &[]), KvCacheSource::Transfer, now);
         self.counted = Counted::Output(ticket);
         Placement::One(chosen)
     }
@@ -328,7 +329,7 @@
             prompt_tokens_ahead: beliefs.prompt_tokens_ahead,
             requests: beliefs.requests,
             held_tokens: beliefs.held_tokens,
-            oldest_word: beliefs.oldest_word,
+            oldest_report_age: beliefs.oldest_report_age,
             work_factor_percent: beliefs.work_factor_percent,
             figure_age: beliefs.figure_age,
         }
@@ -375,7 +376,7 @@
                 if let Some(told) = told {
                     router.on_told(ticket.engine(), *told, now);
                 }
-                router.on_output_begun(&ticket, &self.prefixes, now);
+                router.on_output_started(&ticket, &self.prefixes, now);
                 if let Some(promise) = self.promise.take() {
                     let key = self.last_answer.key;
                     promise.judge(router, &self.query(key, &[]), now);
@@ -383,7 +384,7 @@
                 return false;
             }
             Progress::Paused { .. } => {
-                router.on_paused_too_long(&ticket);
+                router.on_event_gap_exceeded(&ticket);
                 return false;
             }
             Progress::Answered { pauses } => {
--- a/crates/core/src/placing/question.rs
+++ b/crates/core/src/placing/question.rs
@@ -4,7 +4,7 @@
 use crate::forwarding::PoolId;
 use crate::identity::ZoneId;
 use crate::membership::subject::SubjectHandle;
-use crate::routing::pool::{Admission, PromptShape, RequestTerms, Timing, ToldLoad};
+use crate::routing::pool::{Admission, PromptShape, ReportedLoad, RequestTerms, Timing};
 use crate::sharing::Standing;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -51,7 +51,7 @@
         /// The engine that has read the prompt.
         source: SubjectHandle,
         /// Load that it told when it had read the prompt.
-        told: Option<ToldLoad>,
+        told: Option<ReportedLoad>,
         /// Engines that failed the request.
         excluded: Vec<SubjectHandle>,
     },
@@ -84,7 +84,7 @@
     /// Prompt tokens that it holds.
     pub held_tokens: u32,
     /// Age of the oldest word of another placer that counted.
-    pub oldest_word: Duration,
+    pub oldest_report_age: Duration,
     /// How much longer work takes there now, in hundredths of what is usual in its pool.
     pub work_factor_percent: u16,
     /// Age of the momentary figure in that; absent where none counts.
@@ -143,7 +143,7 @@
     /// The first event has come.
     Begun {
         /// Load that the engine told.
-        told: Option<ToldLoad>,
+        told: Option<ReportedLoad>,
     },
     /// It has ended well.
     Answered {
@@ -155,7 +155,7 @@
         /// Why.
         reason: EngineRefusalReason,
         /// Load that the engine told.
-        told: Option<ToldLoad>,
+        told: Option<ReportedLoad>,
     },
     /// The connection broke or was refused.
     Broken,
--- a/crates/core/src/routing/pool/admission.rs
+++ b/crates/core/src/routing/pool/admission.rs
@@ -20,9 +20,9 @@
 
 use super::choice::PoolRoute;
 use super::engine::PoolEngine;
+use super::prefill_speed::PrefillSpeed;
 use super::query::{PoolQuery, PromptShape};
 use super::router::PoolRouter;
-use super::speed::ReadingSpeed;
 use crate::membership::subject::mix;
 use crate::setting::FieldError;
 use crate::sharing::{Charge, SharingSettings, Standing, TenantRequest};
@@ -183,13 +183,13 @@
     ) -> AdmissionDecision {
         let (route, expected) = self.choose_expecting(query, now);
         let speeds = self.speeds(query.pool);
-        let care = speeds.turned_away.share() / settings.full_care_share;
+        let care = speeds.rejection_rate.share() / settings.full_care_share;
         let mut decision = AdmissionDecision {
             admission: Admission::InTime,
             route,
             expected: Duration::ZERO,
             error: speeds.error.factor(care),
-            turned_away: speeds.turned_away.share(),
+            turned_away: speeds.rejection_rate.share(),
             cannot_be_in_time: false,
             queue_part: None,
             tokens: 0.0,
@@ -268,18 +268,18 @@
         let route = self.choose(query, now);
         let context = self.context(query, now);
         let speeds = &context.speeds;
-        let until_read = |engine: &PoolEngine, usual: &ReadingSpeed| {
+        let tokens_until_prefilled = |engine: &PoolEngine, usual: &PrefillSpeed| {
             let line = if query.rank == LATE_RANK {
                 &speeds.late
             } else {
                 usual
             };
             let state = self.engines.get(&engine.id)?;
-            let ahead = state.work(now).prompt_tokens_ahead(query.rank);
+            let ahead = state.load(now).prompt_tokens_ahead(query.rank);
             let tokens = context.reading(state, query).computed;
             let slot_wait = state.slot_wait(now).as_secs_f64();
-            let seconds = slot_wait + state.reading_seconds(line, ahead + tokens, now);
-            let alone = state.reading_seconds(line, tokens, now);
+            let seconds = slot_wait + state.prefill_seconds(line, ahead + tokens, now);
+            let alone = state.prefill_seconds(line, tokens, now);
             Some(Expected {
                 seconds,
                 queue: seconds - alone,
@@ -288,18 +288,18 @@
         };
         let with_place = |expected: Expected, engine: &PoolEngine, hand_over: f64| {
             let state = self.engines.get(&engine.id);
-            let place_wait = speeds.place_wait(state.is_some_and(|state| state.has_place(now)));
+            let queue_wait = speeds.queue_wait(state.is_some_and(|state| state.has_free_slot(now)));
             Expected {
-                seconds: expected.seconds + hand_over + place_wait,
-                queue: expected.queue + place_wait,
+                seconds: expected.seconds + hand_over + queue_wait,
+                queue: expected.queue + queue_wait,
                 ..expected
             }
         };
         let expected = match &route {
-            PoolRoute::Split { prefill, decode } => until_read(prefill, &speeds.prefill)
-                .map(|read| with_place(read, decode, speeds.hand_over_seconds)),
+            PoolRoute::Split { prefill, decode } => tokens_until_prefilled(prefill, &speeds.prefill)
+                .map(|read| with_place(read, decode, speeds.handoff_seconds)),
             PoolRoute::Whole(engine) if query.prompt.is_some() => {
-                until_read(engine, &speeds.decode).map(|read| with_place(read, engine, 0.0))
+                tokens_until_prefilled(engine, &speeds.decode).map(|read| with_place(read, engine, 0.0))
             }
             PoolRoute::Whole(_) | PoolRoute::Nowhere => None,
         };
@@ -319,7 +319,7 @@
         let speeds = self.speeds.entry(query.pool.clone()).or_insert(assumed);
         let is_turned_away = decision.admission != Admission::InTime;
         speeds
-            .turned_away
+            .rejection_rate
             .observe(is_turned_away && decision.cannot_be_in_time);
         if matches!(decision.admission, Admission::Refused { .. }) {
             // What it would have had to have read is wanted all the same.
--- a/crates/core/src/routing/pool/choice.rs
+++ b/crates/core/src/routing/pool/choice.rs
@@ -51,7 +51,7 @@
     /// Prompt tokens that it is believed to hold.
     pub held_tokens: u32,
     /// Age of the oldest word of another node that counts.
-    pub oldest_word: Duration,
+    pub oldest_report_age: Duration,
     /// How much longer work takes there now, in hundredths of what is usual in its pool.
     pub work_factor_percent: u16,
     /// Age of the momentary figure in that; absent where none counts.
@@ -73,7 +73,7 @@
 
     fn choose_among(&self, query: &PoolQuery<'_>, now: MonotonicTime) -> PoolRoute {
         let context = CostContext {
-            wait_apart: self.wait_apart(query, now),
+            min_prefill_wait: self.min_prefill_wait(query, now),
             ..self.context(query, now)
         };
         if query.prompt.is_none() {
@@ -140,7 +140,7 @@
         now: MonotonicTime,
     ) -> Explanation {
         let context = CostContext {
-            wait_apart: self.wait_apart(query, now),
+            min_prefill_wait: self.min_prefill_wait(query, now),
             ..self.context(query, now)
         };
         let home = self.home(query, now);
@@ -167,12 +167,12 @@
         let Some(state) = self.engines.get(engine) else {
             return EngineBeliefs::default();
         };
-        let work = state.work(now);
+        let work = state.load(now);
         EngineBeliefs {
             prompt_tokens_ahead: work.prompt_tokens_ahead(query.rank) as u64,
             requests: work.requests as u32,
             held_tokens: state.prefixes.held_tokens(query.prefixes),
-            oldest_word: state.oldest_word(now),
+            oldest_report_age: state.oldest_report_age(now),
             work_factor_percent: (state.work_factor(now) * 100.0) as u16,
             figure_age: state.pace().figure_age(now),
         }
@@ -187,8 +187,8 @@
     ) -> Option<Duration> {
         let context = self.context(query, now);
         let state = self.engines.get(engine)?;
-        let tokens = state.work(now).prompt_tokens_ahead(query.rank) + context.reading(state, query).computed;
-        let seconds = state.reading_seconds(&context.speeds.prefill, tokens, now);
+        let tokens = state.load(now).prompt_tokens_ahead(query.rank) + context.reading(state, query).computed;
+        let seconds = state.prefill_seconds(&context.speeds.prefill, tokens, now);
         Some(Duration::from_secs_f64(seconds))
     }
 
@@ -218,7 +218,7 @@
             speeds: self.speeds(query.pool),
             move_seconds: traits.and_then(|traits| traits.move_seconds),
             most_held: self.best_holder(query, now).map_or(0, |(tokens, _)| tokens),
-            wait_apart: None,
+            min_prefill_wait: None,
             output_seconds: self.output_seconds(query),
             draw: query.draw,
             now,
--- a/crates/core/src/routing/pool/beside.rs
+++ b/crates/core/src/routing/pool/concurrent_work.rs
@@ -8,7 +8,7 @@
 
 /// What is believed to run beside an output at an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct WorkBeside {
+pub struct ConcurrentWork {
     /// Outputs, that one among them.
     pub outputs: u32,
     /// Prompt tokens to read.
@@ -21,12 +21,12 @@
 
 impl PoolRouter {
     /// What is believed to run at an engine, for the log of a pause; nothing where the engine is not known.
-    pub fn beside(&self, engine: &EngineId, now: MonotonicTime) -> WorkBeside {
+    pub fn concurrent_work(&self, engine: &EngineId, now: MonotonicTime) -> ConcurrentWork {
         let Some(state) = self.engines.get(engine) else {
-            return WorkBeside::default();
+            return ConcurrentWork::default();
         };
-        let work = state.work(now);
-        WorkBeside {
+        let work = state.load(now);
+        ConcurrentWork {
             outputs: work.outputs as u32,
             prompt_tokens: work.all_prompt_tokens() as u64,
             moving_tokens: work.moving_tokens as u64,
@@ -35,14 +35,14 @@
     }
 
     /// Shortest time until an engine that reads prompts would begin with a prompt.
-    pub(super) fn wait_apart(&self, query: &PoolQuery<'_>, now: MonotonicTime) -> Option<f64> {
+    pub(super) fn min_prefill_wait(&self, query: &PoolQuery<'_>, now: MonotonicTime) -> Option<f64> {
         if self.weights.pause_seconds == 0.0 || query.prompt.is_none() {
             return None;
         }
         let per_second = self.speeds(query.pool).prefill.tokens_per_second();
         self.candidates(query, EngineStage::Prefill, now)
             .map(|state| {
-                let ahead = state.work(now).prompt_tokens_ahead(query.rank);
+                let ahead = state.load(now).prompt_tokens_ahead(query.rank);
                 state.work_factor(now) * ahead / per_second
             })
             .min_by(f64::total_cmp)
--- a/crates/core/src/routing/pool/cordoned.rs
+++ b/crates/core/src/routing/pool/cordoned.rs
@@ -80,7 +80,7 @@
                 forced: self.is_cordoned_by_force(now),
             });
         }
-        if self.is_taken_back(now) {
+        if self.is_being_reclaimed(now) {
             return Some(LeftAlone::TakenBack);
         }
         self.health
--- a/crates/core/src/routing/pool/cost.rs
+++ b/crates/core/src/routing/pool/cost.rs
@@ -28,9 +28,9 @@
 //!                * (1 + (w.decode_reading_stall + w.decode_reading_harm * harm) * (1 + outputs at e))
 //!
 //! factor       = how much longer work takes at e now ([`EngineState::work_factor`]); where paces decide it stretches the
-//!                tokens of a reading alone, not its fixed part ([`EngineState::reading_seconds`])
+//!                tokens of a reading alone, not its fixed part ([`EngineState::prefill_seconds`])
 //! harm         = 0 to 1: how near the pauses between events come to the longest harmless one where prompts are read
-//!                beside an output, as seen ([`super::expectation::ReadingPauses`])
+//!                beside an output, as seen ([`super::running_stats::PrefillPauses`])
 //!
 //! slot at e    = seconds until e has a slot for one more request, where it names a rate limit ([`crate::rate_limit`])
 //!
@@ -44,7 +44,7 @@
 //! engine only. To the cost of a prompt, of an output and of both, `w.spread_seconds` times a fraction drawn for the
 //! request and the engine is added, and `slot at e`.
 
-use super::engine::{EngineState, WorkAtEngine};
+use super::engine::{EngineLoad, EngineState};
 use super::pauses::PauseForecast;
 use super::pool_speeds::PoolSpeeds;
 use super::query::{PoolQuery, PrefixBlock};
@@ -66,7 +66,7 @@
     pub most_held: u32,
     /// Shortest time until an engine that reads prompts would begin with this one, in seconds; absent where there is
     /// none, or nothing is chosen by it.
-    pub wait_apart: Option<f64>,
+    pub min_prefill_wait: Option<f64>,
     /// Seconds that the output takes at a usual engine; zero where engines aren't told apart by their pace.
     pub output_seconds: f64,
     /// Number drawn for the request.
@@ -122,7 +122,7 @@
     /// Cost of reading the prompt at an engine.
     pub fn prompt(&self, state: &EngineState, query: &PoolQuery<'_>, is_home: bool) -> f64 {
         let reading = self.reading(state, query);
-        let work = state.work(self.now);
+        let work = state.load(self.now);
         let ahead = work.prompt_tokens_ahead(query.rank);
         let tokens = self.weights.wait * ahead + self.weights.compute * reading.computed;
         let away = if is_home || self.most_held > 0 {
@@ -130,7 +130,7 @@
         } else {
             self.weights.away_seconds
         };
-        state.reading_seconds(&self.speeds.prefill, tokens, self.now)
+        state.prefill_seconds(&self.speeds.prefill, tokens, self.now)
             + self.fetch(&work, reading)
             + away
             + self.apart(&state.engine.zone, query.zone)
@@ -145,10 +145,10 @@
             (true, false) | (false, true) => 0.0,
             (false, false) => self.weights.transfer_zone_seconds,
         };
-        let work = state.work(self.now);
+        let work = state.load(self.now);
         let prompts = work.all_prompt_tokens();
         let held_up = if prompts > 0.0 {
-            self.weights.held_up * state.reading_seconds(&self.speeds.decode, prompts, self.now)
+            self.weights.held_up * state.prefill_seconds(&self.speeds.decode, prompts, self.now)
         } else {
             0.0
         };
@@ -172,9 +172,9 @@
     /// Cost of reading the prompt and running the output at an engine that runs outputs.
     pub fn both(&self, state: &EngineState, query: &PoolQuery<'_>) -> f64 {
         let reading = self.reading(state, query);
-        let work = state.work(self.now);
+        let work = state.load(self.now);
         let tokens = work.prompt_tokens_ahead(query.rank) + reading.computed;
-        let seconds = state.reading_seconds(&self.speeds.decode, tokens, self.now);
+        let seconds = state.prefill_seconds(&self.speeds.decode, tokens, self.now);
         let harm = self.speeds.pauses.harm();
         let stall = self.weights.decode_reading_stall + self.weights.decode_reading_harm * harm;
         let disturbance = 1.0 + stall * (1.0 + work.outputs);
@@ -191,7 +191,7 @@
     fn pauses(
         &self,
         state: &EngineState,
-        work: &WorkAtEngine,
+        work: &EngineLoad,
         query: &PoolQuery<'_>,
         reads: Option<f64>,
     ) -> f64 {
@@ -202,14 +202,14 @@
             event_seconds: self.speeds.pace.seconds(),
             reading: self.speeds.decode,
             work_factor: state.work_factor(self.now),
-            read_lately: state.read_lately.tokens(self.now),
+            recent_prefill: state.recent_prefill.tokens(self.now),
         };
         let (computed, beside) = match reads {
             Some(computed) => (computed, work.prompt_tokens_behind(query.rank)),
             None => (0.0, work.all_prompt_tokens()),
         };
-        let made_late = forecast.streams_made_late(work, computed, self.wait_apart);
-        let late = made_late + forecast.own_lateness(beside, query.terms.longest_pause);
+        let made_late = forecast.streams_made_late(work, computed, self.min_prefill_wait);
+        let late = made_late + forecast.own_lateness(beside, query.terms.max_event_gap);
         self.weights.pause_seconds * late
     }
 
@@ -237,7 +237,7 @@
         self.weights.spread_seconds * (drawn as f64 / u64::MAX as f64)
     }
 
-    fn fetch(&self, work: &WorkAtEngine, reading: ReadingWork) -> f64 {
+    fn fetch(&self, work: &EngineLoad, reading: ReadingWork) -> f64 {
         if reading.fetched == 0.0 {
             return 0.0;
         }
@@ -245,11 +245,11 @@
     }
 
     /// An engine takes one KV cache after the other over its link.
-    fn arriving(&self, work: &WorkAtEngine) -> f64 {
+    fn arriving(&self, work: &EngineLoad) -> f64 {
         self.weights.arriving * work.moving_tokens * self.move_seconds.unwrap_or_default()
     }
 
-    fn load(&self, state: &EngineState, work: &WorkAtEngine) -> f64 {
+    fn load(&self, state: &EngineState, work: &EngineLoad) -> f64 {
         let places = f64::from(state.engine.places.max(1));
         let taken = (work.requests + 1.0) / places;
         let memory = work.memory_tokens / state.prefixes.capacity_tokens().max(1.0);
--- a/crates/core/src/routing/pool/dispatches.rs
+++ b/crates/core/src/routing/pool/dispatches.rs
@@ -1,21 +1,21 @@
-//! The fate of what was sent: work under way, speeds, health and what engines come to hold.
+//! The fate of what was sent: work under kv_source, speeds, health and what engines come to hold.
 
 use super::admission::LATE_RANK;
 use super::beliefs::PrefixNews;
 use super::cost::{ReadingWork, shared_prefixes};
-use super::engine::{EngineState, SentWork};
+use super::engine::{EngineState, InFlightWork};
 use super::pace::{ObservedWork, PaceObservation};
 use super::pool_speeds::PoolSpeeds;
+use super::prefill_speed::PrefillSpeed;
 use super::query::{PoolQuery, PrefixBlock, PromptShape};
 use super::router::PoolRouter;
-use super::speed::ReadingSpeed;
 use crate::engine::EngineRefusalReason;
 use crate::identity::{EngineId, ZoneId};
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
 /// Most news of prefixes that wait to be told to other nodes.
-const MOST_NEWS: usize = 64;
+const MAX_PENDING_UPDATES: usize = 64;
 
 /// Share of an observation in an engine's slowness.
 const SLOWNESS_SHARE: f64 = 0.3;
@@ -25,11 +25,11 @@
 
 /// How an engine that answers comes by the prompt's KV cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OutputWay {
+pub enum KvCacheSource {
     /// It reads the prompt itself.
-    Reads,
+    Prefill,
     /// It fetches what another engine has read.
-    Fetches,
+    Transfer,
 }
 
 /// Receipt of one dispatch, to be handed back when it ends.
@@ -64,9 +64,9 @@
         query: &PoolQuery<'_>,
         now: MonotonicTime,
     ) -> PoolTicket {
-        let reading = self.reading_at(engine, query, now);
+        let reading = self.prefill_work_at(engine, query, now);
         let memory = query.prompt.map_or(0, |prompt| prompt.tokens);
-        self.sent(engine, query, reading, f64::from(memory), None, now)
+        self.note_dispatch(engine, query, reading, f64::from(memory), None, now)
     }
 
     /// Notes that a request is sent to an engine that answers it.
@@ -74,57 +74,57 @@
         &mut self,
         engine: &EngineId,
         query: &PoolQuery<'_>,
-        way: OutputWay,
+        kv_source: KvCacheSource,
         now: MonotonicTime,
     ) -> PoolTicket {
         let prompt_tokens = query.prompt.map_or(0, |prompt| prompt.tokens);
-        let reading = match way {
-            OutputWay::Reads => self.reading_at(engine, query, now),
-            OutputWay::Fetches => ReadingWork {
+        let reading = match kv_source {
+            KvCacheSource::Prefill => self.prefill_work_at(engine, query, now),
+            KvCacheSource::Transfer => ReadingWork {
                 computed: 0.0,
                 fetched: f64::from(prompt_tokens),
             },
         };
         let memory = query.prompt.map_or(0, PromptShape::memory_tokens);
-        self.sent(engine, query, reading, f64::from(memory), Some(way), now)
+        self.note_dispatch(engine, query, reading, f64::from(memory), Some(kv_source), now)
     }
 
-    fn reading_at(&self, engine: &EngineId, query: &PoolQuery<'_>, now: MonotonicTime) -> ReadingWork {
+    fn prefill_work_at(&self, engine: &EngineId, query: &PoolQuery<'_>, now: MonotonicTime) -> ReadingWork {
         let context = self.context(query, now);
         let state = self.engines.get(engine);
         state.map_or(ReadingWork::default(), |state| context.reading(state, query))
     }
 
     /// Notes that an engine has read a prompt, whose parts it holds from now on.
-    pub fn on_prompt_read(&mut self, ticket: &PoolTicket, prefixes: &[PrefixBlock], now: MonotonicTime) {
+    pub fn on_prompt_prefilled(&mut self, ticket: &PoolTicket, prefixes: &[PrefixBlock], now: MonotonicTime) {
         let Some(state) = self.engines.get_mut(&ticket.engine) else {
             return;
         };
         state.health.succeeded();
         state.breaks.answered();
-        note_held(state, prefixes, &mut self.news, now);
+        note_held(state, prefixes, &mut self.prefix_updates, now);
         self.paths.note_answer(&ticket.from, &state.engine.zone, now);
-        let work = state.sent.remove(&ticket.number);
+        let work = state.in_flight.remove(&ticket.number);
         if let Some(work) = work {
-            self.observe_reading(&ticket.engine, &work, |speeds| &mut speeds.prefill, now);
+            self.observe_prefill(&ticket.engine, &work, |speeds| &mut speeds.prefill, now);
         }
     }
 
     /// Notes that parts of a prompt came to be held by an engine that fetched them.
     pub fn on_prefixes_held(&mut self, engine: &EngineId, prefixes: &[PrefixBlock], now: MonotonicTime) {
         if let Some(state) = self.engines.get_mut(engine) {
-            note_held(state, prefixes, &mut self.news, now);
+            note_held(state, prefixes, &mut self.prefix_updates, now);
         }
     }
 
     /// Notes that an engine that reads a prompt and runs its output has come to the output.
-    pub fn on_output_begun(&mut self, ticket: &PoolTicket, prefixes: &[PrefixBlock], now: MonotonicTime) {
+    pub fn on_output_started(&mut self, ticket: &PoolTicket, prefixes: &[PrefixBlock], now: MonotonicTime) {
         let Some(state) = self.engines.get_mut(&ticket.engine) else {
             return;
         };
-        note_held(state, prefixes, &mut self.news, now);
+        note_held(state, prefixes, &mut self.prefix_updates, now);
         self.paths.note_answer(&ticket.from, &state.engine.zone, now);
-        let Some(work) = state.sent.get_mut(&ticket.number) else {
+        let Some(work) = state.in_flight.get_mut(&ticket.number) else {
             return;
         };
         let before = *work;
@@ -133,13 +133,13 @@
         work.begun_at = Some(now);
         work.momentary = state.pace.momentary_factor(now);
         if before.prompt_tokens > 0.0 {
-            self.observe_reading(&ticket.engine, &before, |speeds| &mut speeds.decode, now);
-        } else if before.way == Some(OutputWay::Fetches) {
+            self.observe_prefill(&ticket.engine, &before, |speeds| &mut speeds.decode, now);
+        } else if before.kv_source == Some(KvCacheSource::Transfer) {
             let pool = state.engine.pool.clone();
             let assumed = self.assumed_speeds();
             let speeds = self.speeds.entry(pool).or_insert(assumed);
             if before.rank != LATE_RANK {
-                speeds.observe_hand_over(now.since(before.sent_at), before.had_place);
+                speeds.observe_handoff(now.since(before.sent_at), before.had_free_slot);
             }
         }
     }
@@ -151,26 +151,33 @@
             return;
         };
         let speeds = self.speeds.entry(state.engine.pool.clone()).or_insert(assumed);
-        if state.work(now).all_prompt_tokens() > 0.0 {
+        if state.load(now).all_prompt_tokens() > 0.0 {
             speeds.pauses.observe(part);
-        } else if let Some(bound) = state.sent.get(&ticket.number).and_then(|work| work.longest_pause) {
+        } else if let Some(bound) = state
+            .in_flight
+            .get(&ticket.number)
+            .and_then(|work| work.max_event_gap)
+        {
             let seconds = part * bound.as_secs_f64();
             speeds.pace.observe(seconds / state.work_factor(now));
         }
     }
 
     /// Notes that an output paused for longer than is harmless: it is late, and no other pause makes it later.
-    pub fn on_paused_too_long(&mut self, ticket: &PoolTicket) {
+    pub fn on_event_gap_exceeded(&mut self, ticket: &PoolTicket) {
         let state = self.engines.get_mut(&ticket.engine);
-        if let Some(work) = state.and_then(|state| state.sent.get_mut(&ticket.number)) {
-            work.longest_pause = None;
+        if let Some(work) = state.and_then(|state| state.in_flight.get_mut(&ticket.number)) {
+            work.max_event_gap = None;
         }
     }
 
     /// Learns from an output whose last event has come.
     pub fn on_output_ended(&mut self, ticket: &PoolTicket, now: MonotonicTime) {
         let state = self.engines.get(&ticket.engine);
-        if let Some(work) = state.and_then(|state| state.sent.get(&ticket.number)).copied() {
+        if let Some(work) = state
+            .and_then(|state| state.in_flight.get(&ticket.number))
+            .copied()
+        {
             self.observe_output(&ticket.engine, &work, now);
         }
     }
@@ -178,7 +185,7 @@
     /// Notes that a dispatch ended well.
     pub fn on_answered(&mut self, ticket: &PoolTicket) {
         if let Some(state) = self.engines.get_mut(&ticket.engine) {
-            let work = state.sent.remove(&ticket.number);
+            let work = state.in_flight.remove(&ticket.number);
             state.health.succeeded();
             state.breaks.answered();
             // Its answer came after it was sent; when, only a series of events has told before.
@@ -192,15 +199,15 @@
     /// Notes that a dispatch ended for a cause that is not the engine's.
     pub fn on_abandoned(&mut self, ticket: &PoolTicket) {
         if let Some(state) = self.engines.get_mut(&ticket.engine) {
-            state.sent.remove(&ticket.number);
+            state.in_flight.remove(&ticket.number);
         }
     }
 
     /// Notes that an engine refused a dispatch before running it.
     pub fn on_refused(&mut self, ticket: &PoolTicket, reason: EngineRefusalReason, now: MonotonicTime) {
         if let Some(state) = self.engines.get_mut(&ticket.engine) {
-            state.sent.remove(&ticket.number);
-            state.heard(now);
+            state.in_flight.remove(&ticket.number);
+            state.note_answer(now);
             state.health.refused(reason, now);
             self.paths.note_answer(&ticket.from, &state.engine.zone, now);
         }
@@ -209,18 +216,18 @@
     /// Notes that a connection to an engine broke or was refused.
     pub fn on_broken(&mut self, ticket: &PoolTicket, now: MonotonicTime) {
         if let Some(state) = self.engines.get_mut(&ticket.engine) {
-            state.sent.remove(&ticket.number);
+            state.in_flight.remove(&ticket.number);
             state.health.broke(now);
             state.breaks.broke(now);
         }
     }
 
     /// Learns from a reading that is done: the pool's speed, and how much slower than it the engine is.
-    fn observe_reading(
+    fn observe_prefill(
         &mut self,
         engine: &EngineId,
-        work: &SentWork,
-        line: fn(&mut PoolSpeeds) -> &mut ReadingSpeed,
+        work: &InFlightWork,
+        line: fn(&mut PoolSpeeds) -> &mut PrefillSpeed,
         now: MonotonicTime,
     ) {
         let assumed = self.assumed_speeds();
@@ -232,19 +239,19 @@
         let speeds = self.speeds.entry(pool).or_insert(assumed);
         if work.rank == LATE_RANK {
             // What waits behind everything else tells nothing of the engine.
-            speeds.late.observe(work.until_read, took);
+            speeds.late.observe(work.tokens_until_prefilled, took);
             return;
         }
         let speed = line(speeds);
-        let expected = speed.seconds(work.until_read);
+        let expected = speed.seconds(work.tokens_until_prefilled);
         // Who waited for a place, or met a slow engine, tells nothing of the pool's speed.
-        if work.way.is_none() || work.had_place {
+        if work.kv_source.is_none() || work.had_free_slot {
             if state.pace.in_use {
                 let momentary = (work.momentary + state.pace.momentary_factor(now)) / 2.0;
                 let factor = momentary * state.pace.lasting.factor();
                 let fixed = speed.fixed_seconds();
-                speed.observe(work.until_read * factor, took);
-                let kind = if work.way.is_none() {
+                speed.observe(work.tokens_until_prefilled * factor, took);
+                let kind = if work.kv_source.is_none() {
                     ObservedWork::Prompt
                 } else {
                     ObservedWork::PromptBesideOutputs
@@ -257,19 +264,19 @@
                 };
                 self.observe_pace(engine, seen, now);
             } else {
-                speed.observe(work.until_read, took.div_f64(state.slowness));
+                speed.observe(work.tokens_until_prefilled, took.div_f64(state.slowness));
                 observe_slowness(state, took, expected);
             }
         }
     }
 
-    fn sent(
+    fn note_dispatch(
         &mut self,
         engine: &EngineId,
         query: &PoolQuery<'_>,
         reading: ReadingWork,
         memory_tokens: f64,
-        way: Option<OutputWay>,
+        kv_source: Option<KvCacheSource>,
         now: MonotonicTime,
     ) -> PoolTicket {
         self.tickets += 1;
@@ -280,24 +287,24 @@
         }
         self.demand.on_sent(reading.computed, now);
         if let Some(state) = self.engines.get_mut(engine) {
-            let work = SentWork {
+            let work = InFlightWork {
                 rank,
                 prompt_tokens: reading.computed,
                 memory_tokens,
                 moving_tokens: reading.fetched,
                 sent_at: now,
-                way,
-                had_place: state.has_place(now),
-                until_read: state.work(now).prompt_tokens_ahead(rank) + reading.computed,
-                longest_pause: query.terms.longest_pause.filter(|_| way.is_some()),
+                kv_source,
+                had_free_slot: state.has_free_slot(now),
+                tokens_until_prefilled: state.load(now).prompt_tokens_ahead(rank) + reading.computed,
+                max_event_gap: query.terms.max_event_gap.filter(|_| kv_source.is_some()),
                 output_tokens: query.prompt.map_or(0, PromptShape::expected_output_tokens),
                 begun_at: None,
                 momentary: state.pace.momentary_factor(now),
             };
-            state.sent.insert(self.tickets, work);
+            state.in_flight.insert(self.tickets, work);
             state
-                .read_lately
-                .observe(state.work(now).all_prompt_tokens(), now);
+                .recent_prefill
+                .observe(state.load(now).all_prompt_tokens(), now);
             self.paths.note_sent(query.zone, &state.engine.zone, now);
         }
         PoolTicket {
@@ -314,10 +321,10 @@
     news: &mut Vec<PrefixNews>,
     now: MonotonicTime,
 ) {
-    state.heard(now);
+    state.note_answer(now);
     state.prefixes.note_read(prefixes, now);
     // A request's own part is told too: no other request needs it, but it takes the place of parts that others do.
-    if !shared_prefixes(prefixes).is_empty() && news.len() < MOST_NEWS {
+    if !shared_prefixes(prefixes).is_empty() && news.len() < MAX_PENDING_UPDATES {
         news.push(PrefixNews {
             engine: state.handle,
             prefixes: prefixes.to_vec(),
--- a/crates/core/src/routing/pool/engine.rs
+++ b/crates/core/src/routing/pool/engine.rs
@@ -2,12 +2,12 @@
 
 use super::beliefs::{PeerWork, RANKS};
 use super::cordoned::EngineCordon;
-use super::dispatches::OutputWay;
+use super::dispatches::KvCacheSource;
 use super::pace::EnginePace;
 use super::pauses::RecentReading;
+use super::prefill_speed::PrefillSpeed;
 use super::prefix::PrefixBelief;
 use super::risk::BreakShare;
-use super::speed::ReadingSpeed;
 use crate::forwarding::PoolId;
 use crate::identity::{EngineId, NodeId, ZoneId};
 use crate::membership::subject::SubjectHandle;
@@ -57,7 +57,7 @@
 
 /// Load that an engine told in an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldLoad {
+pub struct ReportedLoad {
     /// Requests that run.
     pub running: u32,
     /// Requests that wait.
@@ -71,20 +71,20 @@
 
 /// Work that this node handed to an engine and that has not ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct SentWork {
+pub(super) struct InFlightWork {
     pub(super) rank: usize,
     pub(super) prompt_tokens: f64,
     pub(super) memory_tokens: f64,
     pub(super) moving_tokens: f64,
     pub(super) sent_at: MonotonicTime,
     /// How the engine comes by the KV cache of an output; absent where it only reads.
-    pub(super) way: Option<OutputWay>,
+    pub(super) kv_source: Option<KvCacheSource>,
     /// Whether a place was free when it was sent.
-    pub(super) had_place: bool,
+    pub(super) had_free_slot: bool,
     /// Prompt tokens that were to be read there until this prompt was read, its own among them.
-    pub(super) until_read: f64,
+    pub(super) tokens_until_prefilled: f64,
     /// Longest harmless pause between its events; absent where none is named, nothing is run, or one was longer.
-    pub(super) longest_pause: Option<Duration>,
+    pub(super) max_event_gap: Option<Duration>,
     /// Tokens that its output is expected to have.
     pub(super) output_tokens: u32,
     /// When its first event came.
@@ -95,7 +95,7 @@
 
 /// Work at an engine, from everybody.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct WorkAtEngine {
+pub struct EngineLoad {
     /// Prompt tokens to read, by rank.
     pub prompt_tokens: [f64; RANKS],
     /// Requests.
@@ -111,10 +111,10 @@
     /// Those of them whose route names the longest harmless pause, and that have kept to it so far.
     pub streams: f64,
     /// Shortest of the longest harmless pauses of those streams; absent where there is none.
-    pub shortest_bound: Option<Duration>,
+    pub min_event_gap_limit: Option<Duration>,
 }
 
-impl WorkAtEngine {
+impl EngineLoad {
     /// Prompt tokens that are read before those of a request of a rank that comes now.
     pub fn prompt_tokens_ahead(&self, rank: usize) -> f64 {
         self.prompt_tokens[..=rank.min(RANKS - 1)].iter().sum()
@@ -145,10 +145,10 @@
     }
 
     fn add_bound(&mut self, bound: Option<Duration>) {
-        self.shortest_bound = [self.shortest_bound, bound].into_iter().flatten().min();
+        self.min_event_gap_limit = [self.min_event_gap_limit, bound].into_iter().flatten().min();
     }
 
-    fn add_sent(&mut self, work: &SentWork) {
+    fn add_in_flight(&mut self, work: &InFlightWork) {
         self.prompt_tokens[work.rank] += work.prompt_tokens;
         self.requests += 1.0;
         self.memory_tokens += work.memory_tokens;
@@ -156,13 +156,13 @@
         if work.prompt_tokens == 0.0 {
             self.outputs += 1.0;
             self.output_tokens += work.memory_tokens;
-            self.streams += if work.longest_pause.is_some() { 1.0 } else { 0.0 };
-            self.add_bound(work.longest_pause);
+            self.streams += if work.max_event_gap.is_some() { 1.0 } else { 0.0 };
+            self.add_bound(work.max_event_gap);
         }
     }
 
     /// As it is told to other nodes.
-    pub fn told_to_peers(&self) -> PeerWork {
+    pub fn to_peer_load(&self) -> PeerWork {
         PeerWork {
             prompt_tokens: self.prompt_tokens.map(|tokens| tokens as u32),
             requests: self.requests as u32,
@@ -171,27 +171,29 @@
             outputs: self.outputs as u32,
             output_tokens: self.output_tokens as u32,
             streams: self.streams as u32,
-            shortest_bound_millis: self.shortest_bound.map_or(0, |bound| bound.as_millis() as u32),
+            shortest_bound_millis: self
+                .min_event_gap_limit
+                .map_or(0, |bound| bound.as_millis() as u32),
         }
     }
 }
 
 /// An engine that the platform lists no longer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Gone {
+pub(super) struct Delisted {
     pub(super) since: MonotonicTime,
     /// The store was in trouble, so the engine may only have failed to renew its entry.
     pub(super) doubtful: bool,
 }
 
 /// Longest time that a change of stage is waited for; an order may be carried out seconds after it was given.
-const ORDER_TAKES: Duration = Duration::from_secs(15);
+const STAGE_ORDER_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Time for which an engine whose disappearance is in doubt is still used; it renews its entry sooner if it lives.
-const DOUBT: Duration = Duration::from_millis(1_600);
+const DOUBTFUL_ENGINE_TTL: Duration = Duration::from_millis(1_600);
 
 /// Time after which an engine that is gone is forgotten; one that comes back sooner keeps what is known of it.
-pub(super) const FORGET_AFTER: Duration = Duration::from_secs(6);
+pub(super) const DELISTED_RETENTION: Duration = Duration::from_secs(6);
 
 impl EngineStage {
     /// Name for logs and pages.
@@ -204,9 +206,9 @@
     }
 }
 
-impl Gone {
+impl Delisted {
     fn is_doubtful_at(self, now: MonotonicTime) -> bool {
-        self.doubtful && now.since(self.since) < DOUBT
+        self.doubtful && now.since(self.since) < DOUBTFUL_ENGINE_TTL
     }
 }
 
@@ -220,42 +222,42 @@
     /// Prompt parts that it is believed to hold.
     pub prefixes: PrefixBelief,
     /// When it was last known to answer, to this node or another.
-    pub(super) heard_at: Option<MonotonicTime>,
+    pub(super) last_answer_at: Option<MonotonicTime>,
     /// The stage that it has been ordered to take, and since when, until it is listed so.
-    pub(super) ordered: Option<(EngineStage, MonotonicTime)>,
+    pub(super) stage_order: Option<(EngineStage, MonotonicTime)>,
     /// Present where the platform lists the engine no longer.
-    pub(super) gone: Option<Gone>,
+    pub(super) delisted: Option<Delisted>,
     /// Whether a later start of the engine is known, so that this one has ended for certain.
     pub(super) replaced: bool,
     /// When its zone was last seen to take spot engines back while this one was listed as staying.
-    pub(super) taken_back_at: Option<MonotonicTime>,
+    pub(super) reclaim_seen_at: Option<MonotonicTime>,
     /// How operators' cordons bear on it.
     pub(super) cordon: EngineCordon,
     /// End of the last backoff that it asked this node for; load returns to it step by step from then on.
     pub(super) backoff_end: Option<MonotonicTime>,
     pub(super) health: Health,
     pub(super) breaks: BreakShare,
-    pub(super) sent: BTreeMap<u64, SentWork>,
-    pub(super) told: Option<(ToldLoad, MonotonicTime)>,
+    pub(super) in_flight: BTreeMap<u64, InFlightWork>,
+    pub(super) reported_load: Option<(ReportedLoad, MonotonicTime)>,
     /// The rate limit that it names in its answers.
     pub(super) limit: LimitBelief,
     pub(super) peers: BTreeMap<NodeId, (PeerWork, MonotonicTime)>,
     /// Factor by which it answers slower than expected; one when it does not. Decides where `pace` is not in use.
     pub(super) slowness: f64,
     /// Prompt tokens that it had to read at once of late.
-    pub(super) read_lately: RecentReading,
+    pub(super) recent_prefill: RecentReading,
     /// Its lasting speed and how its machine stands.
     pub(super) pace: EnginePace,
 }
 
 /// Age from which another node's word no longer counts.
-const PEER_WORD_LIFETIME: Duration = Duration::from_millis(1_500);
+const PEER_REPORT_TTL: Duration = Duration::from_millis(1_500);
 
 /// Silence towards everybody from which an engine no longer counts as busy but alive.
-const ALIVE: Duration = Duration::from_millis(1_200);
+const LIVENESS_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// Age from which a told load no longer counts.
-const TOLD_LIFETIME: Duration = Duration::from_millis(400);
+const REPORTED_LOAD_TTL: Duration = Duration::from_millis(400);
 
 impl EngineState {
     pub(super) fn new(engine: PoolEngine, cache_tokens: u64) -> Self {
@@ -263,51 +265,51 @@
             handle: SubjectHandle::of_engine(&engine.id),
             engine,
             prefixes: PrefixBelief::new(cache_tokens),
-            heard_at: None,
-            ordered: None,
-            gone: None,
+            last_answer_at: None,
+            stage_order: None,
+            delisted: None,
             replaced: false,
-            taken_back_at: None,
+            reclaim_seen_at: None,
             cordon: EngineCordon::default(),
             backoff_end: None,
             health: Health::default(),
             breaks: BreakShare::default(),
-            sent: BTreeMap::new(),
-            told: None,
+            in_flight: BTreeMap::new(),
+            reported_load: None,
             limit: LimitBelief::default(),
             peers: BTreeMap::new(),
             slowness: 1.0,
-            read_lately: RecentReading::default(),
+            recent_prefill: RecentReading::default(),
             pace: EnginePace::default(),
         }
     }
 
     /// Takes a new listing of the same start of the engine.
     pub(super) fn update(&mut self, engine: PoolEngine) {
-        self.gone = None;
-        if self.ordered.is_some_and(|(stage, _)| stage == engine.stage) {
-            self.ordered = None;
+        self.delisted = None;
+        if self.stage_order.is_some_and(|(stage, _)| stage == engine.stage) {
+            self.stage_order = None;
         }
         self.engine = engine;
     }
 
     /// Work of this node alone.
-    pub fn own_work(&self) -> WorkAtEngine {
-        let mut sum = WorkAtEngine::default();
-        self.sent.values().for_each(|work| sum.add_sent(work));
+    pub fn own_load(&self) -> EngineLoad {
+        let mut sum = EngineLoad::default();
+        self.in_flight.values().for_each(|work| sum.add_in_flight(work));
         sum
     }
 
     /// Work of every node, as far as it is known.
-    pub fn work(&self, now: MonotonicTime) -> WorkAtEngine {
-        let mut sum = self.own_work();
+    pub fn load(&self, now: MonotonicTime) -> EngineLoad {
+        let mut sum = self.own_load();
         for (work, at) in self.peers.values() {
-            if now.since(*at) < PEER_WORD_LIFETIME {
+            if now.since(*at) < PEER_REPORT_TTL {
                 sum.add_peer(work);
             }
         }
-        if let Some((told, at)) = self.told
-            && now.since(at) < TOLD_LIFETIME
+        if let Some((told, at)) = self.reported_load
+            && now.since(at) < REPORTED_LOAD_TTL
         {
             sum.requests = sum.requests.max(f64::from(told.running + told.waiting));
         }
@@ -328,7 +330,7 @@
     /// Where the pace decides, it stretches the tokens alone: the fixed part is mostly the wait for work that nobody had
     /// told of yet, which does not grow at a slow engine. Stretched with the rest, it made queues at quick engines look
     /// better than idle engines: of 1,386 prompts on a recorded day 650 met an idle engine, 929 of 1,434 without paces.
-    pub fn reading_seconds(&self, line: &ReadingSpeed, tokens: f64, now: MonotonicTime) -> f64 {
+    pub fn prefill_seconds(&self, line: &PrefillSpeed, tokens: f64, now: MonotonicTime) -> f64 {
         if self.pace.in_use() {
             line.seconds(tokens * self.pace.factor(now))
         } else {
@@ -342,30 +344,31 @@
     }
 
     /// Requests that waited here when it last told; absent where that no longer counts.
-    pub fn told_waiting(&self, now: MonotonicTime) -> Option<u32> {
-        let (told, at) = self.told?;
-        (now.since(at) < TOLD_LIFETIME).then_some(told.waiting)
+    pub fn reported_waiting(&self, now: MonotonicTime) -> Option<u32> {
+        let (told, at) = self.reported_load?;
+        (now.since(at) < REPORTED_LOAD_TTL).then_some(told.waiting)
     }
 
     /// Whether one more request would find a place now.
-    pub(super) fn has_place(&self, now: MonotonicTime) -> bool {
-        self.work(now).requests + 1.0 <= f64::from(self.engine.places.max(1))
+    pub(super) fn has_free_slot(&self, now: MonotonicTime) -> bool {
+        self.load(now).requests + 1.0 <= f64::from(self.engine.places.max(1))
     }
 
     /// Whether the engine has answered anybody a moment ago; a busy one does, a dead one does not.
-    pub fn answers(&self, now: MonotonicTime) -> bool {
-        self.heard_at.is_some_and(|at| now.since(at) < ALIVE)
+    pub fn answered_recently(&self, now: MonotonicTime) -> bool {
+        self.last_answer_at
+            .is_some_and(|at| now.since(at) < LIVENESS_TIMEOUT)
     }
 
     /// Notes that the engine answers.
-    pub(super) fn heard(&mut self, now: MonotonicTime) {
-        self.heard_at = Some(now);
+    pub(super) fn note_answer(&mut self, now: MonotonicTime) {
+        self.last_answer_at = Some(now);
     }
 
     /// Age of the oldest word of another node that still counts.
-    pub fn oldest_word(&self, now: MonotonicTime) -> Duration {
+    pub fn oldest_report_age(&self, now: MonotonicTime) -> Duration {
         let ages = self.peers.values().map(|(_, at)| now.since(*at));
-        ages.filter(|age| *age < PEER_WORD_LIFETIME)
+        ages.filter(|age| *age < PEER_REPORT_TTL)
             .max()
             .unwrap_or_default()
     }
@@ -376,18 +379,18 @@
             && !self.engine.leaving
             && self.ordered_stage(now).is_none()
             && self.cordon_allows(now, last_resort)
-            && (last_resort || !(self.health.is_paused(now) || self.is_taken_back(now)))
+            && (last_resort || !(self.health.is_paused(now) || self.is_being_reclaimed(now)))
     }
 
     /// Whether this start of the engine is over, beyond the doubt that its entry may only have lapsed.
     pub(super) fn has_ended(&self, now: MonotonicTime) -> bool {
-        self.replaced || self.gone.is_some_and(|gone| !gone.is_doubtful_at(now))
+        self.replaced || self.delisted.is_some_and(|gone| !gone.is_doubtful_at(now))
     }
 
     /// The stage that it changes to, if it does.
     pub fn ordered_stage(&self, now: MonotonicTime) -> Option<EngineStage> {
-        let (stage, since) = self.ordered?;
-        (now.since(since) < ORDER_TAKES).then_some(stage)
+        let (stage, since) = self.stage_order?;
+        (now.since(since) < STAGE_ORDER_TIMEOUT).then_some(stage)
     }
 
     /// Whether another engine may fetch from it: it answers, even if it is about to leave.
@@ -407,7 +410,7 @@
 
     /// Whether the platform lists this start of the engine.
     pub fn is_listed(&self) -> bool {
-        self.gone.is_none() && !self.replaced
+        self.delisted.is_none() && !self.replaced
     }
 
     /// Whether a later start of the engine is known, which would take what is meant for this one.
--- a/crates/core/src/routing/pool/pace/mod.rs
+++ b/crates/core/src/routing/pool/pace/mod.rs
@@ -27,7 +27,7 @@
 pub use router::{PaceChange, PaceSpread};
 pub use word::{LastingWord, PaceWords, ToldFigure};
 
-use super::engine::ToldLoad;
+use super::engine::ReportedLoad;
 use crate::time::MonotonicTime;
 use momentary::FigureTraits;
 use serde::{Deserialize, Serialize};
@@ -51,7 +51,7 @@
 const BELIEVED_PERCENT: (u32, u32) = (10, 5_000);
 
 /// The momentary figure that an engine told, as a factor; absent where it told none or nonsense.
-pub(super) fn told_figure(told: &ToldLoad) -> Option<f64> {
+pub(super) fn told_figure(told: &ReportedLoad) -> Option<f64> {
     let (least, most) = BELIEVED_PERCENT;
     let percent = told.work_time_percent?;
     (least..=most)
--- a/crates/core/src/routing/pool/pace/router.rs
+++ b/crates/core/src/routing/pool/pace/router.rs
@@ -5,7 +5,7 @@
 use super::{EnginePaceUse, told_figure};
 use crate::forwarding::PoolId;
 use crate::identity::EngineId;
-use crate::routing::pool::engine::{EngineState, SentWork, ToldLoad};
+use crate::routing::pool::engine::{EngineState, InFlightWork, ReportedLoad};
 use crate::routing::pool::query::PoolQuery;
 use crate::routing::pool::router::PoolRouter;
 use crate::time::MonotonicTime;
@@ -72,7 +72,7 @@
     pub(in crate::routing::pool) fn on_figure(
         &mut self,
         engine: &EngineId,
-        told: &ToldLoad,
+        told: &ReportedLoad,
         now: MonotonicTime,
     ) {
         let (Some(figure), true) = (told_figure(told), self.weights.engine_pace != EnginePaceUse::Off) else {
@@ -169,7 +169,7 @@
     pub(in crate::routing::pool) fn observe_output(
         &mut self,
         engine: &EngineId,
-        work: &SentWork,
+        work: &InFlightWork,
         now: MonotonicTime,
     ) {
         let Some(begun_at) = work.begun_at else {
@@ -275,9 +275,9 @@
             return;
         }
         for word in &words.figures {
-            let told = ToldLoad {
+            let told = ReportedLoad {
                 work_time_percent: Some(u32::from(word.percent)),
-                ..ToldLoad::default()
+                ..ReportedLoad::default()
             };
             let at = now - Duration::from_millis(u64::from(word.age_millis));
             if let (Some(figure), Some(state)) = (told_figure(&told), self.state_of(word.engine)) {
--- a/crates/core/src/routing/pool/pauses.rs
+++ b/crates/core/src/routing/pool/pauses.rs
@@ -29,8 +29,8 @@
 //! (in virtual time, 460 requests a second before 31 engines that read and 59 that run outputs: 0.146 of the streams come
 //! late by either with regard to the room, 0.152 without, 0.199 with pauses left alone; `docs/design/stream-pauses.md`).
 
-use super::engine::WorkAtEngine;
-use super::speed::{LARGEST_FACTOR, ReadingSpeed};
+use super::engine::EngineLoad;
+use super::prefill_speed::{LARGEST_FACTOR, PrefillSpeed};
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
@@ -99,17 +99,17 @@
     /// Time between two events where nothing is read, at an engine of usual speed, in seconds.
     pub event_seconds: f64,
     /// Reading at an engine that runs outputs.
-    pub reading: ReadingSpeed,
+    pub reading: PrefillSpeed,
     /// Factor by which work takes longer at the engine.
     pub work_factor: f64,
     /// Prompt tokens that it had to read at once of late.
-    pub read_lately: f64,
+    pub recent_prefill: f64,
 }
 
 impl PauseForecast {
     /// Longest pause to expect where so many prompt tokens are to be read now, in seconds.
     pub fn pause(&self, prompt_tokens: f64) -> f64 {
-        let tokens = prompt_tokens.max(self.read_lately);
+        let tokens = prompt_tokens.max(self.recent_prefill);
         let reading = if tokens > 0.0 {
             self.reading.seconds(tokens)
         } else {
@@ -119,15 +119,20 @@
     }
 
     /// How many streams at the engine come late by a pause because it reads so many tokens more, as far as the reading
-    /// could be done apart: `wait_apart` is the shortest time until it would begin there, in seconds.
-    pub fn streams_made_late(&self, work: &WorkAtEngine, prompt_tokens: f64, wait_apart: Option<f64>) -> f64 {
-        let Some(bound) = work.shortest_bound.filter(|_| prompt_tokens > 0.0) else {
+    /// could be done apart: `min_prefill_wait` is the shortest time until it would begin there, in seconds.
+    pub fn streams_made_late(
+        &self,
+        work: &EngineLoad,
+        prompt_tokens: f64,
+        min_prefill_wait: Option<f64>,
+    ) -> f64 {
+        let Some(bound) = work.min_event_gap_limit.filter(|_| prompt_tokens > 0.0) else {
             return 0.0;
         };
         let now = work.all_prompt_tokens();
         let before = share_late(self.pause(now), bound);
         let after = share_late(self.pause(now + prompt_tokens), bound);
-        let room = wait_apart.map_or(1.0, |wait| 1.0 - share_late(wait, bound));
+        let room = min_prefill_wait.map_or(1.0, |wait| 1.0 - share_late(wait, bound));
         work.streams * room * (after - before)
     }
 
--- a/crates/core/src/routing/pool/neighbours.rs
+++ b/crates/core/src/routing/pool/peers.rs
@@ -17,7 +17,7 @@
     /// Takes another node's word of its work at a slice of the engines.
     ///
     /// `works` replaces everything that the node said of them before.
-    pub fn on_peer_work(
+    pub fn on_peer_load(
         &mut self,
         peer: &NodeId,
         slice: WorkSlice,
@@ -42,18 +42,18 @@
             if let Some(state) = self.state_of(*handle) {
                 state.peers.insert(peer.clone(), (*work, now));
                 state
-                    .read_lately
-                    .observe(state.work(now).all_prompt_tokens(), now);
+                    .recent_prefill
+                    .observe(state.load(now).all_prompt_tokens(), now);
             }
         }
     }
 
     /// This node's own work, as it is told to other nodes; engines without any are left out.
-    pub fn own_work(&self) -> Vec<(SubjectHandle, PeerWork)> {
+    pub fn own_load(&self) -> Vec<(SubjectHandle, PeerWork)> {
         self.engines
             .values()
-            .filter(|state| !state.sent.is_empty())
-            .map(|state| (state.handle, state.own_work().told_to_peers()))
+            .filter(|state| !state.in_flight.is_empty())
+            .map(|state| (state.handle, state.own_load().to_peer_load()))
             .collect()
     }
 
@@ -62,9 +62,9 @@
         for (handle, stage) in orders {
             if let Some(state) = self.state_of(*handle)
                 && state.engine.stage != *stage
-                && state.ordered.is_none_or(|(known, _)| known != *stage)
+                && state.stage_order.is_none_or(|(known, _)| known != *stage)
             {
-                state.ordered = Some((*stage, now));
+                state.stage_order = Some((*stage, now));
             }
         }
     }
@@ -72,19 +72,19 @@
     /// Notes that this node has ordered an engine to change its stage.
     pub fn note_order(&mut self, engine: &EngineId, stage: EngineStage, now: MonotonicTime) {
         if let Some(state) = self.engines.get_mut(engine) {
-            state.ordered = Some((stage, now));
+            state.stage_order = Some((stage, now));
         }
     }
 
     /// Notes that an engine is not about to change its stage after all.
     pub fn forget_order(&mut self, engine: &EngineId) {
         if let Some(state) = self.engines.get_mut(engine) {
-            state.ordered = None;
+            state.stage_order = None;
         }
     }
 
     /// Changes of stage that are under way.
-    pub fn orders_under_way(&self, now: MonotonicTime) -> Vec<(SubjectHandle, EngineStage)> {
+    pub fn pending_stage_orders(&self, now: MonotonicTime) -> Vec<(SubjectHandle, EngineStage)> {
         self.engines
             .values()
             .filter_map(|state| Some((state.handle, state.ordered_stage(now)?)))
@@ -98,7 +98,7 @@
             .values()
             .filter(|state| state.engine.pool == *pool && state.stays() && state.cordon_allows(now, false));
         let views = engines.map(|state| {
-            let work = state.work(now);
+            let work = state.load(now);
             PoolEngineView {
                 engine: state.engine.id.clone(),
                 zone: state.engine.zone.clone(),
@@ -131,11 +131,11 @@
     }
 
     /// Takes another node's news of shared prefixes that engines hold.
-    pub fn on_peer_news(&mut self, news: &[PrefixNews], now: MonotonicTime) {
+    pub fn on_prefix_updates(&mut self, news: &[PrefixNews], now: MonotonicTime) {
         for one in news {
             if let Some(state) = self.state_of(one.engine) {
                 if one.just_answered {
-                    state.heard(now);
+                    state.note_answer(now);
                 }
                 let returns = one.just_answered && state.health.answered_elsewhere(now);
                 state.prefixes.note_read(&one.prefixes, now);
@@ -148,7 +148,7 @@
     }
 
     /// Takes what an engine says that it holds, and tells other nodes.
-    pub fn on_held_list(&mut self, engine: &EngineId, held: &[PrefixBlock], now: MonotonicTime) {
+    pub fn on_prefix_list(&mut self, engine: &EngineId, held: &[PrefixBlock], now: MonotonicTime) {
         let Some(state) = self.engines.get_mut(engine) else {
             return;
         };
@@ -158,11 +158,11 @@
             prefixes: prefixes.to_vec(),
             just_answered: false,
         });
-        self.news.extend(news);
+        self.prefix_updates.extend(news);
     }
 
     /// Everything that engines are believed to hold, for a node that has just started.
-    pub fn held(&self) -> Vec<PrefixNews> {
+    pub fn prefix_snapshot(&self) -> Vec<PrefixNews> {
         self.engines
             .values()
             .filter(|state| !state.prefixes.is_empty())
@@ -177,8 +177,8 @@
     /// News of shared prefixes since the last call, for other nodes.
     ///
     /// At most `most` of them; the rest follows at the next call.
-    pub fn take_news(&mut self, most: usize) -> Vec<PrefixNews> {
-        let rest = self.news.split_off(most.min(self.news.len()));
-        std::mem::replace(&mut self.news, rest)
+    pub fn take_prefix_updates(&mut self, most: usize) -> Vec<PrefixNews> {
+        let rest = self.prefix_updates.split_off(most.min(self.prefix_updates.len()));
+        std::mem::replace(&mut self.prefix_updates, rest)
     }
 }
--- a/crates/core/src/routing/pool/pool_speeds.rs
+++ b/crates/core/src/routing/pool/pool_speeds.rs
@@ -1,8 +1,8 @@
 //! What a pool's engines were seen to take, by what they do.
 
-use super::expectation::{ExpectationError, ReadingPauses, TurnedAway};
 use super::pauses::EventPace;
-use super::speed::{LARGEST_FACTOR, ReadingSpeed};
+use super::prefill_speed::{LARGEST_FACTOR, PrefillSpeed};
+use super::running_stats::{EstimateError, PrefillPauses, RejectionRate};
 use std::time::Duration;
 
 /// Share of a new observation in the running mean of hand-overs.
@@ -30,24 +30,24 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PoolSpeeds {
     /// Reading at an engine that reads prompts, until it was done.
-    pub prefill: ReadingSpeed,
+    pub prefill: PrefillSpeed,
     /// Reading at an engine that runs outputs, until the first event.
-    pub decode: ReadingSpeed,
+    pub decode: PrefillSpeed,
     /// Reading behind everything that can be in time, until it was done.
-    pub late: ReadingSpeed,
+    pub late: PrefillSpeed,
     /// From the dispatch of an output whose prompt another engine has read to its first event, in seconds, where a
     /// place was free.
-    pub hand_over_seconds: f64,
+    pub handoff_seconds: f64,
     /// The same on top where none was free.
-    pub place_wait_seconds: f64,
+    pub queue_wait_seconds: f64,
     /// By how much first events exceed what was expected.
-    pub error: ExpectationError,
+    pub error: EstimateError,
     /// What outputs suffer from reading beside them.
-    pub pauses: ReadingPauses,
+    pub pauses: PrefillPauses,
     /// Time between two events of an output where nothing is read beside it, at a usual engine.
     pub pace: EventPace,
     /// How many requests could not be in time.
-    pub turned_away: TurnedAway,
+    pub rejection_rate: RejectionRate,
 }
 
 impl PoolSpeeds {
@@ -55,30 +55,34 @@
     /// one that runs outputs, relative to it.
     pub fn assumed(tokens_per_second: f64, decode_pace: f64) -> Self {
         Self {
-            prefill: ReadingSpeed::assumed(tokens_per_second),
-            decode: ReadingSpeed::assumed(tokens_per_second * decode_pace),
-            late: ReadingSpeed::assumed(tokens_per_second * ASSUMED_LATE_PACE),
-            hand_over_seconds: ASSUMED_HAND_OVER_SECONDS,
-            place_wait_seconds: ASSUMED_PLACE_WAIT_SECONDS,
-            error: ExpectationError::default(),
-            pauses: ReadingPauses::default(),
+            prefill: PrefillSpeed::assumed(tokens_per_second),
+            decode: PrefillSpeed::assumed(tokens_per_second * decode_pace),
+            late: PrefillSpeed::assumed(tokens_per_second * ASSUMED_LATE_PACE),
+            handoff_seconds: ASSUMED_HAND_OVER_SECONDS,
+            queue_wait_seconds: ASSUMED_PLACE_WAIT_SECONDS,
+            error: EstimateError::default(),
+            pauses: PrefillPauses::default(),
             pace: EventPace::default(),
-            turned_away: TurnedAway::default(),
+            rejection_rate: RejectionRate::default(),
         }
     }
 
     /// Takes how long a hand-over took, and whether a place was free for it.
-    pub fn observe_hand_over(&mut self, took: Duration, had_place: bool) {
-        if had_place {
-            follow(&mut self.hand_over_seconds, took.as_secs_f64());
+    pub fn observe_handoff(&mut self, took: Duration, had_free_slot: bool) {
+        if had_free_slot {
+            follow(&mut self.handoff_seconds, took.as_secs_f64());
         } else {
-            let wait = (took.as_secs_f64() - self.hand_over_seconds).max(0.0);
-            follow(&mut self.place_wait_seconds, wait);
+            let wait = (took.as_secs_f64() - self.handoff_seconds).max(0.0);
+            follow(&mut self.queue_wait_seconds, wait);
         }
     }
 
     /// Seconds that an output waits before it begins, at an engine with or without a free place.
-    pub fn place_wait(&self, has_place: bool) -> f64 {
-        if has_place { 0.0 } else { self.place_wait_seconds }
+    pub fn queue_wait(&self, has_free_slot: bool) -> f64 {
+        if has_free_slot {
+            0.0
+        } else {
+            self.queue_wait_seconds
+        }
     }
 }
--- a/crates/core/src/routing/pool/speed.rs
+++ b/crates/core/src/routing/pool/prefill_speed.rs
@@ -33,7 +33,7 @@
 /// Least squares with weights that fade from reading to reading; no reading counts for more than a bounded factor of
 /// what was expected.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ReadingSpeed {
+pub struct PrefillSpeed {
     fixed_seconds: f64,
     seconds_per_token: f64,
     weight: f64,
@@ -44,7 +44,7 @@
     readings: u32,
 }
 
-impl ReadingSpeed {
+impl PrefillSpeed {
     /// Begins with an assumption, in tokens per second.
     pub fn assumed(tokens_per_second: f64) -> Self {
         let seconds_per_token = 1.0 / tokens_per_second;
--- a/crates/core/src/routing/pool/query.rs
+++ b/crates/core/src/routing/pool/query.rs
@@ -80,7 +80,7 @@
     /// The tenant whose request it is; absent where callers need no key.
     pub tenant: Option<SubjectHandle>,
     /// Longest pause between two events of its answer that is harmless; absent where the route names none.
-    pub longest_pause: Option<Duration>,
+    pub max_event_gap: Option<Duration>,
     /// Whether it may run on one engine only: one that ends under it can't be made good.
     pub single_try: bool,
     /// Rank of its kind among the routes of its pool; zero is the most urgent.
--- a/crates/core/src/routing/pool/recent.rs
+++ b/crates/core/src/routing/pool/recent_changes.rs
@@ -14,14 +14,14 @@
 
 /// Changes of the list between two versions of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ListNews {
+pub struct ListUpdate {
     /// A node that reflects less than this version lacks more than these changes.
     pub base: u64,
     /// The changes in order, each with its version.
     pub changes: Vec<(u64, ListChange)>,
 }
 
-impl ListNews {
+impl ListUpdate {
     /// Takes the changes into a list that reflects everything before them; returns those that are new.
     pub fn apply_to(self, listing: &mut EngineListing) -> Vec<ListChange> {
         match self.changes.last().map(|(version, _)| *version) {
@@ -68,7 +68,7 @@
     }
 
     /// What is told to others now: the newest changes, at most so many.
-    pub fn told(&mut self, most: usize, now: MonotonicTime) -> ListNews {
+    pub fn told(&mut self, most: usize, now: MonotonicTime) -> ListUpdate {
         let is_old = |at: MonotonicTime| now.since(at) >= TOLD_FOR;
         while self.changes.front().is_some_and(|(at, _, _)| is_old(*at)) {
             self.drop_first();
@@ -76,7 +76,7 @@
         while self.changes.len() > most {
             self.drop_first();
         }
-        ListNews {
+        ListUpdate {
             base: self.base,
             changes: self
                 .changes
--- a/crates/core/src/routing/pool/reclaims.rs
+++ b/crates/core/src/routing/pool/reclaims.rs
@@ -16,14 +16,14 @@
 impl PoolRouter {
     /// Leaves the spot engines of zones alone that take theirs back; to be told after each change of the list. True where
     /// a zone has just begun to.
-    pub fn note_reclaims(&mut self, now: MonotonicTime) -> bool {
+    pub fn update_reclaimed_zones(&mut self, now: MonotonicTime) -> bool {
         let zones = self.zones_taken_back();
         let mut has_begun = false;
         for state in self.engines.values_mut().filter(|state| state.stays_as_spot()) {
             let zone = (state.engine.pool.clone(), state.engine.zone.clone());
             if zones.get(&zone).is_some_and(|zone| zone.are_taken_back()) {
-                has_begun |= state.taken_back_at.is_none();
-                state.taken_back_at = Some(now);
+                has_begun |= state.reclaim_seen_at.is_none();
+                state.reclaim_seen_at = Some(now);
             }
         }
         has_begun
@@ -47,7 +47,8 @@
     }
 
     /// Whether its zone takes spot engines back, and its own leaving may only not be listed yet.
-    pub(super) fn is_taken_back(&self, now: MonotonicTime) -> bool {
-        self.taken_back_at.is_some_and(|at| now.since(at) < SHOWS_WITHIN)
+    pub(super) fn is_being_reclaimed(&self, now: MonotonicTime) -> bool {
+        self.reclaim_seen_at
+            .is_some_and(|at| now.since(at) < SHOWS_WITHIN)
     }
 }
--- a/crates/core/src/routing/pool/risk.rs
+++ b/crates/core/src/routing/pool/risk.rs
@@ -54,7 +54,7 @@
     /// How likely the engine ends under a request, from zero to one.
     pub fn risk(&self, now: MonotonicTime) -> f64 {
         let taken_back = self
-            .taken_back_at
+            .reclaim_seen_at
             .is_some_and(|at| now.since(at) < TAKEN_BACK_FOR);
         let listed = if taken_back && self.engine.spot {
             TAKEN_BACK_RISK
--- a/crates/core/src/routing/pool/router.rs
+++ b/crates/core/src/routing/pool/router.rs
@@ -3,7 +3,7 @@
 use super::beliefs::PrefixNews;
 use super::cordoned::CordonInForce;
 use super::demand::PromptDemand;
-use super::engine::{EngineStage, EngineState, FORGET_AFTER, Gone, PoolEngine, ToldLoad};
+use super::engine::{DELISTED_RETENTION, Delisted, EngineStage, EngineState, PoolEngine, ReportedLoad};
 use super::limits::SentRate;
 use super::pace::{PaceChange, PoolPace};
 use super::paths::Paths;
@@ -33,7 +33,7 @@
     pub(super) speeds: BTreeMap<PoolId, PoolSpeeds>,
     pub(super) paces: BTreeMap<PoolId, PoolPace>,
     pub(super) traits: BTreeMap<PoolId, ModelTraits>,
-    pub(super) news: Vec<PrefixNews>,
+    pub(super) prefix_updates: Vec<PrefixNews>,
     /// Whether what is sent from one zone reaches engines in another.
     pub(super) paths: Paths,
     pub(super) untold_silences: Vec<UntoldSilence>,
@@ -68,7 +68,7 @@
             speeds: BTreeMap::new(),
             paces: BTreeMap::new(),
             traits: BTreeMap::new(),
-            news: Vec::new(),
+            prefix_updates: Vec::new(),
             paths: Paths::default(),
             untold_silences: Vec::new(),
             engine_changes: Vec::new(),
@@ -118,10 +118,13 @@
     /// that the engine may live and only its entry have lapsed.
     pub fn on_engine_gone(&mut self, engine: &EngineId, doubtful: bool, now: MonotonicTime) {
         if let Some(state) = self.engines.get_mut(engine) {
-            state.gone = Some(Gone { since: now, doubtful });
+            state.delisted = Some(Delisted { since: now, doubtful });
         }
-        self.engines
-            .retain(|_, state| state.gone.is_none_or(|gone| now.since(gone.since) < FORGET_AFTER));
+        self.engines.retain(|_, state| {
+            state
+                .delisted
+                .is_none_or(|gone| now.since(gone.since) < DELISTED_RETENTION)
+        });
         let engines = &self.engines;
         self.engine_of.retain(|_, engine| engines.contains_key(engine));
         self.end_use(engine);
@@ -131,8 +134,8 @@
     /// that were known.
     pub fn on_entry_unreadable(&mut self, entry: &EngineId, now: MonotonicTime) -> Vec<EngineId> {
         let starts = self.starts_of(entry.as_str()).map(|state| {
-            let since = state.gone.map_or(now, |gone| gone.since);
-            state.gone = Some(Gone {
+            let since = state.delisted.map_or(now, |gone| gone.since);
+            state.delisted = Some(Delisted {
                 since,
                 doubtful: false,
             });
@@ -191,14 +194,14 @@
     }
 
     /// Takes the load that an engine told in an answer.
-    pub fn on_told(&mut self, engine: &EngineId, told: ToldLoad, now: MonotonicTime) {
+    pub fn on_told(&mut self, engine: &EngineId, told: ReportedLoad, now: MonotonicTime) {
         let state = self.engines.get_mut(engine);
         // What an earlier start told says nothing of the engine as it is, nor of its pool's machines now.
         let Some(state) = state.filter(|state| !state.has_later_start()) else {
             return;
         };
-        state.heard(now);
-        state.told = Some((told, now));
+        state.note_answer(now);
+        state.reported_load = Some((told, now));
         self.on_figure(engine, &told, now);
     }
 
--- a/crates/core/src/routing/pool/expectation.rs
+++ b/crates/core/src/routing/pool/running_stats.rs
@@ -43,12 +43,12 @@
 
 /// The factor by which first events exceed what was expected of them, at two quantiles.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ExpectationError {
+pub struct EstimateError {
     hopeful: Quantile,
     careful: Quantile,
 }
 
-impl Default for ExpectationError {
+impl Default for EstimateError {
     fn default() -> Self {
         Self {
             hopeful: Quantile::new(HOPEFUL),
@@ -57,7 +57,7 @@
     }
 }
 
-impl ExpectationError {
+impl EstimateError {
     /// The factor that decides, from the hopeful one at a care of zero to the careful one at one.
     pub fn factor(&self, care: f64) -> f64 {
         let careful = self.careful.factor.max(self.hopeful.factor);
@@ -88,11 +88,11 @@
 /// How near the pauses between an output's events come to the longest that is harmless, at engines that read prompts
 /// beside it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ReadingPauses {
+pub struct PrefillPauses {
     part: Quantile,
 }
 
-impl Default for ReadingPauses {
+impl Default for PrefillPauses {
     fn default() -> Self {
         let mut part = Quantile::new(PAUSE_QUANTILE);
         part.factor = ASSUMED_PAUSE;
@@ -100,7 +100,7 @@
     }
 }
 
-impl ReadingPauses {
+impl PrefillPauses {
     /// Takes one pause, as part of the longest harmless one.
     pub fn observe(&mut self, part: f64) {
         self.part.observe(part);
@@ -117,11 +117,11 @@
 
 /// Share of the requests that were turned away of late.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct TurnedAway {
+pub struct RejectionRate {
     share: f64,
 }
 
-impl TurnedAway {
+impl RejectionRate {
     /// The share.
     pub fn share(&self) -> f64 {
         self.share
--- a/crates/core/src/routing/pool/signals.rs
+++ b/crates/core/src/routing/pool/signals.rs
@@ -42,7 +42,7 @@
 
 impl EngineState {
     /// Time until this node may send there again; zero where the engine asked for no backoff, or its end has passed.
-    pub fn backoff_left(&self, now: MonotonicTime) -> Duration {
+    pub fn remaining_backoff(&self, now: MonotonicTime) -> Duration {
         self.backoff_end.map_or(Duration::ZERO, |end| end.since(now))
     }
 
@@ -71,7 +71,7 @@
     }
 
     /// Notes that an engine has refused another node for want of room.
-    pub fn on_refused_elsewhere(
+    pub fn on_refused_at_peer(
         &mut self,
         engine: SubjectHandle,
         reason: EngineRefusalReason,
@@ -83,7 +83,7 @@
     }
 
     /// Notes that an engine wants no requests from this node for a time; the end of its backoff.
-    pub fn on_backoff_asked(
+    pub fn on_backoff_requested(
         &mut self,
         engine: &EngineId,
         backoff: Duration,
@@ -105,7 +105,7 @@
 
     /// Time until every stage that a query needs has an engine that accepts it, where none does for the backoffs and the rate
     /// limits of its engines; absent where there is no such engine.
-    pub fn next_acceptance(&self, query: &PoolQuery<'_>, now: MonotonicTime) -> Option<Duration> {
+    pub fn time_until_accepted(&self, query: &PoolQuery<'_>, now: MonotonicTime) -> Option<Duration> {
         let stages = match query.prompt {
             Some(_) => &[EngineStage::Prefill, EngineStage::Decode][..],
             None => &[EngineStage::Whole],
@@ -132,7 +132,7 @@
             } else {
                 slot
             };
-            state.backoff_left(now).max(slot)
+            state.remaining_backoff(now).max(slot)
         });
         waits.min()
     }
--- a/crates/core/src/routing/pool/silences.rs
+++ b/crates/core/src/routing/pool/silences.rs
@@ -43,7 +43,7 @@
         let Some(state) = self.engines.get_mut(ticket.engine()) else {
             return;
         };
-        let Some(work) = state.sent.remove(&ticket.number()) else {
+        let Some(work) = state.in_flight.remove(&ticket.number()) else {
             return;
         };
         let pause = state.health.silent(now);
@@ -75,7 +75,7 @@
                 continue;
             };
             let zone = state.engine.zone.clone();
-            let is_heard = state.heard_at.is_some_and(|at| at > sent_at);
+            let is_heard = state.last_answer_at.is_some_and(|at| at > sent_at);
             let engines = self.engines_in(&zone);
             self.paths
                 .note_told_silent(&word.from, &zone, word.engine, engines, sent_at, now);
--- a/crates/core/src/routing/pool/working_set/growing.rs
+++ b/crates/core/src/routing/pool/working_set/growing.rs
@@ -99,7 +99,7 @@
             state.takes_work(now, false)
                 && state.is_idle(now)
                 && state.slot_wait(now).is_zero()
-                && state.backoff_left(now).is_zero()
+                && state.remaining_backoff(now).is_zero()
         })
     }
 }
--- a/crates/core/src/routing/pool/working_set/load.rs
+++ b/crates/core/src/routing/pool/working_set/load.rs
@@ -1,8 +1,8 @@
 //! What the engines in use have to do.
 
 use crate::routing::pool::engine::{EngineStage, EngineState};
+use crate::routing::pool::prefill_speed::PrefillSpeed;
 use crate::routing::pool::router::PoolRouter;
-use crate::routing::pool::speed::ReadingSpeed;
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
@@ -20,8 +20,8 @@
 
 impl EngineState {
     /// Engines that the work here would keep busy.
-    fn busy(&self, line: &ReadingSpeed, now: MonotonicTime) -> f64 {
-        let work = self.work(now);
+    fn busy(&self, line: &PrefillSpeed, now: MonotonicTime) -> f64 {
+        let work = self.load(now);
         if self.engine.stage != EngineStage::Prefill {
             let places = work.requests / f64::from(self.engine.places.max(1));
             return places.max(work.memory_tokens / self.prefixes.capacity_tokens().max(1.0));
@@ -30,35 +30,35 @@
         if tokens == 0.0 {
             return 0.0;
         }
-        (self.reading_seconds(line, tokens, now) / QUEUE_OF_ONE).max(1.0)
+        (self.prefill_seconds(line, tokens, now) / QUEUE_OF_ONE).max(1.0)
     }
 
     /// Whether a request that comes now would wait for no other.
     pub(super) fn is_idle(&self, now: MonotonicTime) -> bool {
         match self.engine.stage {
-            EngineStage::Prefill => self.work(now).all_prompt_tokens() == 0.0,
-            EngineStage::Decode | EngineStage::Whole => self.has_place(now),
+            EngineStage::Prefill => self.load(now).all_prompt_tokens() == 0.0,
+            EngineStage::Decode | EngineStage::Whole => self.has_free_slot(now),
         }
     }
 
     /// Whether nothing was ever sent here or heard from here.
     pub(super) fn is_untouched(&self) -> bool {
-        self.sent.is_empty()
+        self.in_flight.is_empty()
             && self.peers.is_empty()
             && self.prefixes.is_empty()
-            && self.heard_at.is_none()
-            && self.ordered.is_none()
+            && self.last_answer_at.is_none()
+            && self.stage_order.is_none()
             && self.rate_limit().is_none()
     }
 
     /// Whether there was no work here for so long.
     pub(super) fn is_unused_for(&self, hold: Duration, now: MonotonicTime) -> bool {
         let is_long_ago = |at: Option<MonotonicTime>| at.is_none_or(|at| now.since(at) >= hold);
-        self.work(now).requests == 0.0
+        self.load(now).requests == 0.0
             && self.ordered_stage(now).is_none()
             // What it named would be forgotten.
             && self.rate_limit().is_none()
-            && is_long_ago(self.heard_at)
+            && is_long_ago(self.last_answer_at)
             && is_long_ago(self.prefixes.latest_use())
     }
 }
@@ -76,7 +76,7 @@
             load.busy += state.busy(&line, now);
             let takes_all = state.takes_work(now, false)
                 && state.rate_limit().is_none()
-                && state.backoff_left(now).is_zero();
+                && state.remaining_backoff(now).is_zero();
             load.unusable += usize::from(!takes_all);
         }
         load
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -3,7 +3,7 @@
 use super::cost::{Candidate, compare_with_peers};
 use super::query::{DispatchTicket, FinishedWork, Route, RouteEstimate, RouteQuery};
 use super::selection::{cheapest, sample};
-use super::view::{EngineView, SentWork};
+use super::view::{EngineView, InFlightWork};
 use super::weights::RoutingWeights;
 use crate::admission::ModelCapacity;
 use crate::engine::{EngineRefusalReason, KvEvent};
@@ -254,7 +254,7 @@
     weights: &RoutingWeights,
     others: f64,
     now: MonotonicTime,
-) -> SentWork {
+) -> InFlightWork {
     let candidate = Candidate::new(engine, view, query, weights, others, now);
     let prefill_tokens = if candidate.runs_prompts() {
         candidate.uncached_tokens
@@ -268,7 +268,7 @@
         0.0
     };
     let expected = candidate.wait() + prefill_tokens / candidate.prefill_speed;
-    SentWork {
+    InFlightWork {
         sent_at: now,
         prefill_tokens,
         decode_tokens,
@@ -289,7 +289,7 @@
 }
 
 /// Compares the time between tokens with what the engine's report promised; too few tokens say too little.
-fn observe_tokens(view: &mut EngineView, sent: &SentWork, work: &FinishedWork, now: MonotonicTime) {
+fn observe_tokens(view: &mut EngineView, sent: &InFlightWork, work: &FinishedWork, now: MonotonicTime) {
     let Some(first_token) = work.first_token else {
         return;
     };
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -27,7 +27,7 @@
 
 /// Work handed to an engine by this router that has not ended.
 #[derive(Clone, Debug)]
-pub struct SentWork {
+pub struct InFlightWork {
     /// When it was sent.
     pub sent_at: MonotonicTime,
     /// Prompt tokens that must be computed; zero once the first part came.
@@ -75,7 +75,7 @@
     /// How it keeps what it reports.
     pub health: Health,
     mean_sequences: f64,
-    sent: BTreeMap<u64, SentWork>,
+    sent: BTreeMap<u64, InFlightWork>,
     unreported: Unreported,
 }
 
@@ -96,36 +96,36 @@
 }
 
 impl Unreported {
-    fn add(&mut self, work: &SentWork) {
+    fn add(&mut self, work: &InFlightWork) {
         self.own.add(work, 1.0);
         self.alike.add(work, 1.0 - work.cached_part);
     }
 
-    fn remove(&mut self, work: &SentWork) {
+    fn remove(&mut self, work: &InFlightWork) {
         self.remove_prefill(work);
         self.own.remove(work, 1.0);
         self.alike.remove(work, 1.0 - work.cached_part);
     }
 
-    fn remove_prefill(&mut self, work: &SentWork) {
+    fn remove_prefill(&mut self, work: &InFlightWork) {
         self.own.remove_prefill(work, 1.0);
         self.alike.remove_prefill(work, 1.0 - work.cached_part);
     }
 }
 
 impl UnreportedSum {
-    fn add(&mut self, work: &SentWork, part: f64) {
+    fn add(&mut self, work: &InFlightWork, part: f64) {
         self.prefill[work.class.index()] += part * work.prefill_tokens;
         self.decode += part * work.decode_tokens;
         self.requests += part;
     }
 
-    fn remove(&mut self, work: &SentWork, part: f64) {
+    fn remove(&mut self, work: &InFlightWork, part: f64) {
         self.decode = (self.decode - part * work.decode_tokens).max(0.0);
         self.requests = (self.requests - part).max(0.0);
     }
 
-    fn remove_prefill(&mut self, work: &SentWork, part: f64) {
+    fn remove_prefill(&mut self, work: &InFlightWork, part: f64) {
         let prefill = &mut self.prefill[work.class.index()];
         *prefill = (*prefill - part * work.prefill_tokens).max(0.0);
     }
@@ -222,13 +222,13 @@
     }
 
     /// Notes work that was just sent.
-    pub fn sent(&mut self, number: u64, work: SentWork) {
+    pub fn sent(&mut self, number: u64, work: InFlightWork) {
         self.unreported.add(&work);
         self.sent.insert(number, work);
     }
 
     /// Notes the first part of an answer; gives the work as it was when that is news.
-    pub fn started(&mut self, number: u64) -> Option<SentWork> {
+    pub fn started(&mut self, number: u64) -> Option<InFlightWork> {
         let work = self.sent.get_mut(&number)?;
         if work.started {
             return None;
@@ -243,7 +243,7 @@
     }
 
     /// Notes the end of a dispatch.
-    pub fn ended(&mut self, number: u64) -> Option<SentWork> {
+    pub fn ended(&mut self, number: u64) -> Option<InFlightWork> {
         let work = self.sent.remove(&number)?;
         if !work.reported {
             self.unreported.remove(&work);
--- a/crates/core/tests/engine_listing.rs
+++ b/crates/core/tests/engine_listing.rs
@@ -6,7 +6,7 @@
 use pool_support::engine_with;
 use proptest::prelude::*;
 use shelfjunction_core::identity::{EngineId, EngineStart};
-use shelfjunction_core::routing::pool::{EngineListing, EngineStage, ListChange, ListNews, PoolEngine};
+use shelfjunction_core::routing::pool::{EngineListing, EngineStage, ListChange, ListUpdate, PoolEngine};
 
 const NAME: &str = "engine";
 
@@ -140,9 +140,9 @@
     prop::collection::vec((0_usize..12, 1_usize..6), 0..24)
 }
 
-fn word(history: &[ListChange], (from, count): (usize, usize)) -> ListNews {
+fn word(history: &[ListChange], (from, count): (usize, usize)) -> ListUpdate {
     let changes = (1..).zip(history.iter().cloned());
-    ListNews {
+    ListUpdate {
         base: from as u64,
         changes: changes.skip(from).take(count).collect(),
     }
--- a/crates/core/tests/engine_pace.rs
+++ b/crates/core/tests/engine_pace.rs
@@ -7,9 +7,9 @@
 use pool_support::{engine_with, pool, router_with};
 use shelfjunction_core::identity::{EngineId, ZoneId};
 use shelfjunction_core::routing::pool::{
-    EnginePaceUse, EngineStage, FigurePersistence, LastingPace, LastingWord, OutputWay, PaceWords, PoolQuery,
-    PoolRoute, PoolRouter, PoolWeights, PrefixBlock, PromptPart, PromptShape, RequestTerms, ToldFigure,
-    ToldLoad,
+    EnginePaceUse, EngineStage, FigurePersistence, KvCacheSource, LastingPace, LastingWord, PaceWords,
+    PoolQuery, PoolRoute, PoolRouter, PoolWeights, PrefixBlock, PromptPart, PromptShape, ReportedLoad,
+    RequestTerms, ToldFigure,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -35,8 +35,8 @@
     router_with(weights, 64, None, &engines)
 }
 
-fn told(percent: Option<u32>) -> ToldLoad {
-    ToldLoad {
+fn told(percent: Option<u32>) -> ReportedLoad {
+    ReportedLoad {
         running: 1,
         waiting: 0,
         places: 64,
@@ -66,16 +66,16 @@
     let (pool, zone, prompt) = (pool(), ZoneId::new("zone-a"), prompt());
     let query = query(&pool, &zone, &prompt, &[]);
     let ticket = router.on_prompt_sent(&EngineId::new(engine), &query, at);
-    router.on_prompt_read(&ticket, &[], at + took);
+    router.on_prompt_prefilled(&ticket, &[], at + took);
 }
 
 /// Runs an output at an engine, which takes so long.
 fn run(router: &mut PoolRouter, engine: &str, took: Duration, at: MonotonicTime) {
     let (pool, zone, prompt) = (pool(), ZoneId::new("zone-a"), prompt());
     let query = query(&pool, &zone, &prompt, &[]);
-    let ticket = router.on_output_sent(&EngineId::new(engine), &query, OutputWay::Fetches, at);
+    let ticket = router.on_output_sent(&EngineId::new(engine), &query, KvCacheSource::Transfer, at);
     let begun = at + millis(10);
-    router.on_output_begun(&ticket, &[], begun);
+    router.on_output_started(&ticket, &[], begun);
     router.on_output_ended(&ticket, begun + took);
     router.on_answered(&ticket);
 }
@@ -204,8 +204,8 @@
             router.on_told(&EngineId::new(engine), told(Some(percent)), now);
             let (pool, zone, prompt) = (pool(), ZoneId::new("zone-a"), prompt());
             let query = query(&pool, &zone, &prompt, &[]);
-            let ticket = router.on_output_sent(&EngineId::new(engine), &query, OutputWay::Fetches, now);
-            router.on_output_begun(&ticket, &[], now);
+            let ticket = router.on_output_sent(&EngineId::new(engine), &query, KvCacheSource::Transfer, now);
+            router.on_output_started(&ticket, &[], now);
             router.on_told(&EngineId::new(engine), told(Some(percent)), now + millis(took));
             router.on_output_ended(&ticket, now + millis(took));
             router.on_answered(&ticket);
--- a/crates/core/tests/engine_signals.rs
+++ b/crates/core/tests/engine_signals.rs
@@ -8,8 +8,8 @@
 use shelfjunction_core::identity::{EngineId, EngineStart, ZoneId};
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::routing::pool::{
-    EngineStage, NotAccepting, PoolEngine, PoolQuery, PoolRoute, PoolRouter, PoolWeights, RequestTerms,
-    ToldLoad, WorkingSetSettings,
+    EngineStage, NotAccepting, PoolEngine, PoolQuery, PoolRoute, PoolRouter, PoolWeights, ReportedLoad,
+    RequestTerms, WorkingSetSettings,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -175,7 +175,7 @@
 fn a_backoff_binds_the_node_that_was_refused_and_not_those_for_which_it_chooses() {
     let only = engine("only", 0);
     let mut router = router(std::slice::from_ref(&only));
-    router.on_backoff_asked(&only.id, BACKOFF, NOW);
+    router.on_backoff_requested(&only.id, BACKOFF, NOW);
     assert_eq!(part_to(&router, "only", true, NOW), 0, "also as a last resort");
     assert_eq!(part_to(&router, "only", false, NOW), 100);
     assert_eq!(
@@ -183,16 +183,19 @@
         Some(NotAccepting::BackedOff { remaining: BACKOFF })
     );
     let asked = Asked::new();
-    assert_eq!(router.next_acceptance(&asked.query(true, 0), NOW), Some(BACKOFF));
+    assert_eq!(
+        router.time_until_accepted(&asked.query(true, 0), NOW),
+        Some(BACKOFF)
+    );
 }
 
 #[test]
 fn the_longest_of_several_backoffs_counts_and_no_answer_or_listing_shortens_it() {
     let only = engine("only", 0);
     let mut router = router(std::slice::from_ref(&only));
-    router.on_backoff_asked(&only.id, BACKOFF, NOW);
-    router.on_backoff_asked(&only.id, BACKOFF / 10, NOW);
-    router.on_told(&only.id, ToldLoad::default(), NOW);
+    router.on_backoff_requested(&only.id, BACKOFF, NOW);
+    router.on_backoff_requested(&only.id, BACKOFF / 10, NOW);
+    router.on_told(&only.id, ReportedLoad::default(), NOW);
     router.on_engine(only.clone());
     let before_end = NOW + BACKOFF - Duration::from_millis(1);
     assert_eq!(part_to(&router, "only", true, before_end), 0);
@@ -203,7 +206,7 @@
 fn a_backoff_outlasts_what_the_router_forgets_of_an_engine() {
     let only = engine("only", 0);
     let mut router = router(std::slice::from_ref(&only));
-    router.on_backoff_asked(&only.id, Duration::from_secs(30), NOW);
+    router.on_backoff_requested(&only.id, Duration::from_secs(30), NOW);
     router.on_engine_gone(&only.id, false, NOW);
     let later = NOW + Duration::from_secs(10);
     router.on_engine_gone(&EngineId::new("another"), false, later);
@@ -218,7 +221,7 @@
     let mut router = router(&[backed_off.clone(), other]);
     let usual = part_to(&router, "backed-off", true, NOW);
     assert!(usual > 0, "it is the cheaper one");
-    router.on_backoff_asked(&backed_off.id, BACKOFF, NOW);
+    router.on_backoff_requested(&backed_off.id, BACKOFF, NOW);
     let end = NOW + BACKOFF;
     let at_first = part_to(&router, "backed-off", true, end);
     assert!(at_first > 0 && at_first < usual / 2, "{at_first} of {usual}");
--- a/crates/core/tests/engine_starts.rs
+++ b/crates/core/tests/engine_starts.rs
@@ -18,7 +18,7 @@
 use shelfjunction_core::quarantine::{Asked, Fingerprint, Quarantine, Standing};
 use shelfjunction_core::routing::pool::{
     CordonInForce, EngineListing, EngineStage, EngineState, LeftAlone, ListChange, PeerWork, PoolAdmission,
-    PoolEngine, PoolRouter, PoolWeights, PrefixNews, PromptPart, PromptShape, RequestTerms, ToldLoad,
+    PoolEngine, PoolRouter, PoolWeights, PrefixNews, PromptPart, PromptShape, ReportedLoad, RequestTerms,
     WorkSlice,
 };
 use shelfjunction_core::time::MonotonicTime;
@@ -165,7 +165,7 @@
 #[test]
 fn a_later_start_holds_nothing_of_what_the_earlier_one_was_believed_to_hold() {
     let mut node = Node::new();
-    node.router.on_peer_news(&[news(1)], at(10));
+    node.router.on_prefix_updates(&[news(1)], at(10));
     let prefixes = request().prompt.prefixes();
     assert_eq!(node.state(1).prefixes.held_tokens(&prefixes), 7_000);
     node.hear(2, listed(2), false, at(100));
@@ -239,11 +239,11 @@
         assert_eq!(chosen(node.answer(1, 1, at(10))), Some(handle(1)));
         assert_eq!(chosen(node.answer(2, 1, at(11))), Some(handle(1)));
         node.router
-            .on_peer_work(&peer, WorkSlice::ALL, &[(handle(1), work)], at(12));
-        assert_eq!(node.state(1).work(at(13)).requests, 10.0);
+            .on_peer_load(&peer, WorkSlice::ALL, &[(handle(1), work)], at(12));
+        assert_eq!(node.state(1).load(at(13)).requests, 10.0);
         node.hear(2, listed(2), false, at(100));
     }
-    let told = ToldLoad {
+    let told = ReportedLoad {
         running: 8,
         waiting: 30,
         places: 8,
@@ -254,40 +254,40 @@
         node.progress(1, Progress::Broken, at(111));
         node.progress(2, Progress::Answered { pauses: vec![400] }, at(112));
         node.router
-            .on_peer_work(&peer, WorkSlice::ALL, &[(handle(1), work)], at(113));
-        node.router.on_peer_news(&[news(1)], at(114));
+            .on_peer_load(&peer, WorkSlice::ALL, &[(handle(1), work)], at(113));
+        node.router.on_prefix_updates(&[news(1)], at(114));
         node.router
             .on_ordered(&[(handle(1), EngineStage::Prefill)], at(115));
         node.hear(3, listed(1), false, at(116));
         node.hear(4, gone(1), false, at(117));
         let now = at(118);
         let state = node.state(2);
-        assert_eq!(state.work(now).requests, 0.0, "work, own and told");
+        assert_eq!(state.load(now).requests, 0.0, "work, own and told");
         assert!(state.prefixes.is_empty(), "news");
-        assert!(!state.answers(now), "liveness");
+        assert!(!state.answered_recently(now), "liveness");
         assert_eq!(state.ordered_stage(now), None, "orders");
         assert_eq!(state.work_factor(now), 1.0);
         assert_eq!(node.router.taking_work(now), 1, "health");
-        assert_eq!(node.router.own_work(), [], "the earlier one's work has ended");
+        assert_eq!(node.router.own_load(), [], "the earlier one's work has ended");
         assert_eq!(chosen(node.answer(3, 1, now)), Some(handle(2)));
-        assert_eq!(node.state(2).work(now).requests, 1.0);
+        assert_eq!(node.state(2).load(now).requests, 1.0);
     }
 }
 
 #[test]
 fn words_of_a_start_that_a_node_has_not_heard_of_are_passed_over() {
     let mut node = Node::new();
-    node.router.on_peer_news(&[news(2)], at(10));
+    node.router.on_prefix_updates(&[news(2)], at(10));
     let work = PeerWork {
         requests: 3,
         ..PeerWork::default()
     };
     let peer = NodeId::new("peer");
     node.router
-        .on_peer_work(&peer, WorkSlice::ALL, &[(handle(2), work)], at(11));
+        .on_peer_load(&peer, WorkSlice::ALL, &[(handle(2), work)], at(11));
     assert_eq!(node.router.engine_named(handle(2)), None);
     assert!(node.state(1).prefixes.is_empty());
-    assert_eq!(node.state(1).work(at(12)).requests, 0.0);
+    assert_eq!(node.state(1).load(at(12)).requests, 0.0);
 }
 
 #[test]
--- a/crates/core/tests/engine_troubles.rs
+++ b/crates/core/tests/engine_troubles.rs
@@ -12,7 +12,7 @@
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::routing::health::Health;
 use shelfjunction_core::routing::pool::{
-    EngineStage, OutputWay, PoolEngine, PoolQuery, PoolRoute, PoolRouter, PoolWeights, PrefixBlock,
+    EngineStage, KvCacheSource, PoolEngine, PoolQuery, PoolRoute, PoolRouter, PoolWeights, PrefixBlock,
     PrefixNews, PromptPart, PromptShape, RequestTerms, SilenceWord,
 };
 use shelfjunction_core::time::MonotonicTime;
@@ -90,14 +90,14 @@
 
 fn fall_silent(router: &mut PoolRouter, id: &str, now: MonotonicTime) {
     let asked = Asked::new(false);
-    let ticket = router.on_output_sent(&EngineId::new(id), &asked.query(0), OutputWay::Reads, now);
+    let ticket = router.on_output_sent(&EngineId::new(id), &asked.query(0), KvCacheSource::Prefill, now);
     router.on_silent(&ticket, now);
 }
 
 fn answer(router: &mut PoolRouter, id: &str, now: MonotonicTime) {
     let asked = Asked::new(false);
-    let ticket = router.on_output_sent(&EngineId::new(id), &asked.query(0), OutputWay::Reads, now);
-    router.on_output_begun(&ticket, &asked.prefixes, now);
+    let ticket = router.on_output_sent(&EngineId::new(id), &asked.query(0), KvCacheSource::Prefill, now);
+    router.on_output_started(&ticket, &asked.prefixes, now);
     router.on_answered(&ticket);
 }
 
@@ -179,7 +179,7 @@
             prefixes: Vec::new(),
             just_answered: true,
         };
-        router.on_peer_news(&[news], after(720));
+        router.on_prefix_updates(&[news], after(720));
         assert!(to(&router, &asked, "d1", after(730)) > 0);
         let changes = router.take_engine_changes();
         let pauses: Vec<_> = changes.iter().map(|change| (change.pause, change.told)).collect();
@@ -191,7 +191,7 @@
         let mut router = router(&[engine("d1"), engine("d2")]);
         let asked = Asked::new(false);
         let id = EngineId::new("d1");
-        let ticket = router.on_output_sent(&id, &asked.query(0), OutputWay::Reads, NOW);
+        let ticket = router.on_output_sent(&id, &asked.query(0), KvCacheSource::Prefill, NOW);
         router.on_silent(&ticket, after(250));
         assert_eq!(router.take_silences(8, after(270)), [word("d1", 270)]);
         assert!(router.take_silences(8, after(270)).is_empty());
@@ -216,7 +216,7 @@
             answer(&mut router, id, NOW);
         }
         let id = EngineId::new("d1");
-        let ticket = router.on_output_sent(&id, &asked.query(0), OutputWay::Reads, NOW);
+        let ticket = router.on_output_sent(&id, &asked.query(0), KvCacheSource::Prefill, NOW);
         router.on_broken(&ticket, NOW);
         answer(&mut router, "d1", after(600));
         router
@@ -238,7 +238,7 @@
             router.on_output_sent(
                 &EngineId::new("d2"),
                 &asked.query(0),
-                OutputWay::Fetches,
+                KvCacheSource::Transfer,
                 after(650),
             );
         }
@@ -280,7 +280,7 @@
                 ..spot(id)
             });
         }
-        assert!(router.note_reclaims(NOW));
+        assert!(router.update_reclaimed_zones(NOW));
         let now = after(5_000);
         assert_eq!(to(&router, &Asked::new(true), "s3", now), 0);
         assert!(to(&router, &Asked::new(false), "s3", now) > 300);
--- a/crates/core/tests/engines_in_use.rs
+++ b/crates/core/tests/engines_in_use.rs
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use shelfjunction_core::identity::EngineId;
 use shelfjunction_core::routing::pool::{
-    EngineListing, EngineStage, KnownChanges, ListChange, ListNews, ListSnapshot, PoolEngine,
+    EngineListing, EngineStage, KnownChanges, ListChange, ListSnapshot, ListUpdate, PoolEngine,
 };
 
 fn engine(name: &str) -> PoolEngine {
@@ -92,7 +92,7 @@
 fn news_of_the_whole_list_add_no_engine_that_nobody_uses() {
     let mut listing = EngineListing::default();
     listing.replace_in_use(&snapshot(20, vec![engine("a")]), &all_known());
-    let news = ListNews {
+    let news = ListUpdate {
         base: 20,
         changes: vec![
             (21, ListChange::Listed(engine("new"))),
@@ -125,7 +125,7 @@
 fn an_engine_that_left_is_not_revived_by_the_list_of_a_placer_that_was_cut_off() {
     let mut listing = EngineListing::default();
     listing.replace_in_use(&snapshot(20, vec![engine("a"), engine("b")]), &all_known());
-    let news = ListNews {
+    let news = ListUpdate {
         base: 20,
         changes: vec![(21, gone("b"))],
     };
@@ -241,7 +241,7 @@
 #[derive(Default)]
 struct Placer {
     listing: EngineListing,
-    news: Option<ListNews>,
+    news: Option<ListUpdate>,
 }
 
 impl Placer {
@@ -260,7 +260,7 @@
             .cloned()
             .collect();
         self.listing.apply(changes.clone(), store.version);
-        self.news = Some(ListNews { base, changes });
+        self.news = Some(ListUpdate { base, changes });
     }
 
     fn in_use(&self, used: u8) -> ListSnapshot {
--- a/crates/core/tests/pace_world/mod.rs
+++ b/crates/core/tests/pace_world/mod.rs
@@ -8,8 +8,8 @@
 use engines::{Rng, SimulatedEngine};
 use shelfjunction_core::identity::{EngineId, NodeId, ZoneId};
 use shelfjunction_core::routing::pool::{
-    EnginePaceUse, EngineStage, OutputWay, PoolQuery, PoolRoute, PoolRouter, PoolTicket, PoolWeights,
-    PrefixBlock, PromptPart, PromptShape, RequestTerms, ToldLoad, WorkSlice,
+    EnginePaceUse, EngineStage, KvCacheSource, PoolQuery, PoolRoute, PoolRouter, PoolTicket, PoolWeights,
+    PrefixBlock, PromptPart, PromptShape, ReportedLoad, RequestTerms, WorkSlice,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::collections::BTreeMap;
@@ -199,7 +199,7 @@
                 let told = self.told(ticket.engine(), now);
                 let router = &mut self.routers[request.placer];
                 router.on_told(ticket.engine(), told, now);
-                router.on_output_begun(&ticket, &request.prefixes, now);
+                router.on_output_started(&ticket, &request.prefixes, now);
             }
             Happening::Ended {
                 request,
@@ -216,7 +216,7 @@
             Happening::Heard { to, from, work } => {
                 let (work, paces) = work;
                 let node = NodeId::new(format!("n{from}"));
-                self.routers[to].on_peer_work(&node, WorkSlice::ALL, &work, now);
+                self.routers[to].on_peer_load(&node, WorkSlice::ALL, &work, now);
                 self.routers[to].on_pace_words(&paces, now);
             }
         }
@@ -269,11 +269,11 @@
         let pool = pool();
         let router = &mut self.routers[request.placer];
         router.on_told(ticket.engine(), told, now);
-        router.on_prompt_read(ticket, &request.prefixes, now);
+        router.on_prompt_prefilled(ticket, &request.prefixes, now);
         let query = request.query(&pool, &zone);
         let chosen = router.choose_output(&query, ticket.engine(), now);
         let decode = chosen.map_or_else(|| decode.clone(), |engine| engine.id);
-        let ticket = router.on_output_sent(&decode, &query, OutputWay::Fetches, now);
+        let ticket = router.on_output_sent(&decode, &query, KvCacheSource::Transfer, now);
         *self.outputs.entry(decode.clone()).or_default() += 1;
         let (first, end, longest) = self.engine(&decode).run(OUTPUT_TOKENS, now);
         let in_time = first.since(request.began) <= TARGET && longest <= LONGEST_PAUSE;
@@ -296,19 +296,19 @@
         self.engines.get_mut(id).expect("a known engine")
     }
 
-    fn told(&mut self, id: &EngineId, now: MonotonicTime) -> ToldLoad {
+    fn told(&mut self, id: &EngineId, now: MonotonicTime) -> ReportedLoad {
         let nonsense = self.world.nonsense;
         let figure = (self.engine(id).momentary(now) * 100.0) as u32;
-        ToldLoad {
+        ReportedLoad {
             work_time_percent: Some(nonsense.unwrap_or(figure)),
-            ..ToldLoad::default()
+            ..ReportedLoad::default()
         }
     }
 
     fn tell(&mut self, now: MonotonicTime) {
         self.later(now + Duration::from_millis(WORD_EVERY), Happening::Words);
         for from in 0..self.routers.len() {
-            let work = self.routers[from].own_work();
+            let work = self.routers[from].own_load();
             let paces = self.routers[from].take_pace_words(8, 2, now);
             self.pace_bytes += 15 * paces.figures.len() + 13 * paces.lasting.len() + 2;
             for to in (0..self.routers.len()).filter(|to| *to != from) {
--- a/crates/core/tests/paths.rs
+++ b/crates/core/tests/paths.rs
@@ -301,7 +301,7 @@
     use crate::pool_support::{engine_with, pool, router_with};
     use shelfjunction_core::identity::EngineId;
     use shelfjunction_core::routing::pool::{
-        EngineStage, OutputWay, PoolEngine, PoolQuery, PoolRouter, PoolWeights, PromptPart, PromptShape,
+        EngineStage, KvCacheSource, PoolEngine, PoolQuery, PoolRouter, PoolWeights, PromptPart, PromptShape,
         RequestTerms,
     };
 
@@ -374,7 +374,7 @@
         let asked = Asked::new();
         for engine in ["p-b", "d-b", "d-b2"] {
             let id = EngineId::new(engine);
-            let ticket = router.on_output_sent(&id, &asked.query(), OutputWay::Reads, NOW);
+            let ticket = router.on_output_sent(&id, &asked.query(), KvCacheSource::Prefill, NOW);
             router.on_silent(&ticket, after(250));
         }
     }
@@ -396,7 +396,7 @@
         let mut router = router();
         let asked = Asked::new();
         for _ in 0..8 {
-            router.on_output_sent(&EngineId::new("d-a"), &asked.query(), OutputWay::Reads, NOW);
+            router.on_output_sent(&EngineId::new("d-a"), &asked.query(), KvCacheSource::Prefill, NOW);
         }
         let source = EngineId::new("p-a");
         let chosen = |router: &PoolRouter, now| router.choose_output(&asked.query(), &source, now).unwrap();
@@ -411,7 +411,7 @@
         let mut router = router_with(PoolWeights::default(), 8, Some(1e-6), &engines);
         let asked = Asked::new();
         for engine in &engines {
-            let ticket = router.on_output_sent(&engine.id, &asked.query(), OutputWay::Reads, NOW);
+            let ticket = router.on_output_sent(&engine.id, &asked.query(), KvCacheSource::Prefill, NOW);
             router.on_silent(&ticket, after(250));
         }
         assert!(
--- a/crates/core/tests/pauses_world/mod.rs
+++ b/crates/core/tests/pauses_world/mod.rs
@@ -14,7 +14,7 @@
 use rand::{Rng, SeedableRng};
 use shelfjunction_core::identity::{EngineId, NodeId, ZoneId};
 use shelfjunction_core::routing::pool::{
-    EngineStage, OutputWay, PoolQuery, PoolRoute, PoolRouter, PromptPart, PromptShape, RequestTerms,
+    EngineStage, KvCacheSource, PoolQuery, PoolRoute, PoolRouter, PromptPart, PromptShape, RequestTerms,
     WorkSlice,
 };
 use shelfjunction_core::time::MonotonicTime;
@@ -133,10 +133,10 @@
     fn tell(&mut self) {
         let now = self.time();
         for from in 0..self.routers.len() {
-            let works = self.routers[from].own_work();
+            let works = self.routers[from].own_load();
             let name = NodeId::new(format!("node-{from}"));
             for to in (0..self.routers.len()).filter(|to| *to != from) {
-                self.routers[to].on_peer_work(&name, WorkSlice::ALL, &works, now);
+                self.routers[to].on_peer_load(&name, WorkSlice::ALL, &works, now);
             }
         }
         if self.now < self.ends_at() {
@@ -220,7 +220,7 @@
             excluded: &[],
             last_resort: false,
             terms: RequestTerms {
-                longest_pause: self.setup.bound,
+                max_event_gap: self.setup.bound,
                 ..RequestTerms::default()
             },
             draw: (request as u64).wrapping_mul(0x9E37_79B9_7F4A_7C15),
@@ -246,7 +246,7 @@
             if is_prompt {
                 router.on_prompt_sent(&engine, query, now)
             } else {
-                router.on_output_sent(&engine, query, OutputWay::Reads, now)
+                router.on_output_sent(&engine, query, KvCacheSource::Prefill, now)
             }
         });
         let tokens = f64::from(self.requests[request].prompt.tokens);
@@ -306,12 +306,12 @@
             return;
         };
         let engine = self.ask(request, |router, query, now| {
-            router.on_prompt_read(&ticket, query.prefixes, now);
+            router.on_prompt_prefilled(&ticket, query.prefixes, now);
             router.choose_output(query, &source, now)
         });
         let engine = engine.unwrap().id;
         let ticket = self.ask(request, |router, query, now| {
-            router.on_output_sent(&engine, query, OutputWay::Fetches, now)
+            router.on_output_sent(&engine, query, KvCacheSource::Transfer, now)
         });
         self.streams.choices.push(engine.to_string());
         self.requests[request].ticket = Some(ticket);
@@ -352,7 +352,7 @@
             return;
         };
         self.ask(number, |router, query, now| {
-            router.on_output_begun(&ticket, query.prefixes, now);
+            router.on_output_started(&ticket, query.prefixes, now);
         });
     }
 
@@ -362,7 +362,7 @@
         };
         if pause > bound && !std::mem::replace(&mut self.requests[number].pause_late, true) {
             let ticket = self.requests[number].ticket.clone().unwrap();
-            self.ask(number, |router, _, _| router.on_paused_too_long(&ticket));
+            self.ask(number, |router, _, _| router.on_event_gap_exceeded(&ticket));
         }
         if let Some(ticket) = self.requests[number].ticket.clone().filter(|_| told) {
             let part = pause.as_secs_f64() / bound.as_secs_f64();
--- a/crates/core/tests/placing.rs
+++ b/crates/core/tests/placing.rs
@@ -238,14 +238,14 @@
     fn streams(&self) -> u32 {
         self.router
             .engines()
-            .map(|state| state.own_work().streams as u32)
+            .map(|state| state.own_load().streams as u32)
             .sum()
     }
 
     fn requests(&self) -> u32 {
         self.router
             .engines()
-            .map(|state| state.own_work().requests as u32)
+            .map(|state| state.own_load().requests as u32)
             .sum()
     }
 }
@@ -412,7 +412,7 @@
 fn a_stream_that_paused_for_too_long_stays_counted_as_an_output_that_is_late_already() {
     let mut placer = Placer::new();
     let bounded = |mut question: Question| {
-        question.request.terms.longest_pause = Some(Duration::from_millis(200));
+        question.request.terms.max_event_gap = Some(Duration::from_millis(200));
         question
     };
     placer.ask(&bounded(admission(1)), NOW);
--- a/crates/core/tests/pool_admission.rs
+++ b/crates/core/tests/pool_admission.rs
@@ -9,9 +9,9 @@
 use shelfjunction_core::forwarding::{CallerWaits, PoolId, RouteId};
 use shelfjunction_core::identity::{EngineId, NodeId, ZoneId};
 use shelfjunction_core::routing::pool::{
-    Admission, AdmissionDecision, EngineStage, ExpectationError, LATE_RANK, OutputWay, PeerWork,
-    PoolAdmission, PoolQuery, PoolRoute, PoolRouter, PoolSpeeds, PoolWeights, PrefixBlock, PromptPart,
-    PromptShape, ReadingSpeed, RequestTerms, Timing, TurnedAway, WorkSlice,
+    Admission, AdmissionDecision, EngineStage, EstimateError, KvCacheSource, LATE_RANK, PeerWork,
+    PoolAdmission, PoolQuery, PoolRoute, PoolRouter, PoolSpeeds, PoolWeights, PrefillSpeed, PrefixBlock,
+    PromptPart, PromptShape, RejectionRate, RequestTerms, Timing, WorkSlice,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -91,7 +91,7 @@
         ..PeerWork::default()
     };
     work.prompt_tokens[rank] = tokens;
-    router.on_peer_work(&NodeId::new("other"), WorkSlice::ALL, &[(handle, work)], NOW);
+    router.on_peer_load(&NodeId::new("other"), WorkSlice::ALL, &[(handle, work)], NOW);
     router
 }
 
@@ -168,7 +168,7 @@
             outputs: requests,
             ..PeerWork::default()
         };
-        router.on_peer_work(&NodeId::new("other"), WorkSlice::ALL, &[(handle, work)], NOW);
+        router.on_peer_load(&NodeId::new("other"), WorkSlice::ALL, &[(handle, work)], NOW);
         decide(&router, false, &PoolAdmission::default()).expected
     };
     assert_eq!(expected(0), expected(3), "one place is free");
@@ -185,12 +185,12 @@
         rank: LATE_RANK,
         ..asked.query()
     };
-    let ticket = router.on_output_sent(&EngineId::new("d1"), &late, OutputWay::Fetches, NOW);
-    router.on_output_begun(&ticket, &asked.prefixes, NOW + Duration::from_secs(2));
+    let ticket = router.on_output_sent(&EngineId::new("d1"), &late, KvCacheSource::Transfer, NOW);
+    router.on_output_started(&ticket, &asked.prefixes, NOW + Duration::from_secs(2));
     assert_eq!(router.speeds(&pool()), before);
-    let ticket = router.on_output_sent(&EngineId::new("d1"), &asked.query(), OutputWay::Fetches, NOW);
-    router.on_output_begun(&ticket, &asked.prefixes, NOW + Duration::from_secs(2));
-    assert!(router.speeds(&pool()).hand_over_seconds > before.hand_over_seconds);
+    let ticket = router.on_output_sent(&EngineId::new("d1"), &asked.query(), KvCacheSource::Transfer, NOW);
+    router.on_output_started(&ticket, &asked.prefixes, NOW + Duration::from_secs(2));
+    assert!(router.speeds(&pool()).handoff_seconds > before.handoff_seconds);
 }
 
 #[test]
@@ -204,7 +204,7 @@
         assert!(reading >= 20 || demand.prompt_tokens_per_second.is_none());
         let ticket = router.on_prompt_sent(&p1, &asked.query(), at);
         at = at + Duration::from_millis(60);
-        router.on_prompt_read(&ticket, &[], at);
+        router.on_prompt_prefilled(&ticket, &[], at);
     }
     let (_, demand) = router.role_input(&pool(), at);
     assert!(demand.prompt_tokens_per_second.is_some());
@@ -213,7 +213,7 @@
 /// Found in the log of a quiet day: readings are a straight line, and the estimate believed twice the speed.
 #[test]
 fn speed_and_fixed_part_are_learned_from_readings_of_several_lengths() {
-    let mut speed = ReadingSpeed::assumed(40_000.0);
+    let mut speed = PrefillSpeed::assumed(40_000.0);
     for reading in 0..300 {
         let tokens = f64::from(1_000 + (reading % 17) * 3_000);
         speed.observe(tokens, Duration::from_secs_f64(0.008 + tokens / 205_000.0));
@@ -224,7 +224,7 @@
 
 #[test]
 fn a_few_lost_packets_move_the_line_little() {
-    let mut speed = ReadingSpeed::assumed(200_000.0);
+    let mut speed = PrefillSpeed::assumed(200_000.0);
     for reading in 0..300 {
         let tokens = f64::from(1_000 + (reading % 17) * 3_000);
         let lost = if reading % 29 == 7 { 3.0 } else { 0.0 };
@@ -239,7 +239,7 @@
     fn no_reading_leads_to_a_negative_or_endless_time(
         readings in prop::collection::vec((0u32..2_000_000, 0u64..20_000_000), 1..200),
     ) {
-        let mut speed = ReadingSpeed::assumed(40_000.0);
+        let mut speed = PrefillSpeed::assumed(40_000.0);
         for (tokens, micros) in readings {
             speed.observe(f64::from(tokens), Duration::from_micros(micros));
             for asked in [0.0, 1.0, 1e4, 1e9] {
@@ -253,13 +253,13 @@
 
 #[test]
 fn more_care_asks_for_more_room() {
-    let mut error = ExpectationError::default();
+    let mut error = EstimateError::default();
     for ratio in (0..2_000).map(|number| 50 + number % 100) {
         error.observe(Duration::from_millis(980), Duration::from_millis(ratio * 10 - 20));
     }
     assert!(error.factor(0.0) < error.factor(0.5) && error.factor(0.5) < error.factor(1.0));
     assert_eq!(error.factor(1.0), error.factor(9.0));
-    let mut turned_away = TurnedAway::default();
+    let mut turned_away = RejectionRate::default();
     (0..40).for_each(|_| turned_away.observe(true));
     assert!(turned_away.share() > 0.8);
     (0..80).for_each(|_| turned_away.observe(false));
--- a/crates/core/tests/pool_pauses.rs
+++ b/crates/core/tests/pool_pauses.rs
@@ -10,8 +10,8 @@
 use shelfjunction_core::identity::{EngineId, NodeId, ZoneId};
 use shelfjunction_core::routing::pool::pauses::{EventPace, PauseForecast, RecentReading, share_late};
 use shelfjunction_core::routing::pool::{
-    EngineStage, OutputWay, PeerWork, PoolQuery, PoolRoute, PoolRouter, PoolWeights, PromptPart, PromptShape,
-    ReadingSpeed, RequestTerms, WorkAtEngine, WorkSlice,
+    EngineLoad, EngineStage, KvCacheSource, PeerWork, PoolQuery, PoolRoute, PoolRouter, PoolWeights,
+    PrefillSpeed, PromptPart, PromptShape, RequestTerms, WorkSlice,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -33,9 +33,9 @@
     fn forecast(work_factor: f64) -> PauseForecast {
         PauseForecast {
             event_seconds: 0.050,
-            reading: ReadingSpeed::assumed(30_000.0),
+            reading: PrefillSpeed::assumed(30_000.0),
             work_factor,
-            read_lately: 0.0,
+            recent_prefill: 0.0,
         }
     }
 
@@ -57,10 +57,10 @@
         assert!(after(100) > 7_000.0, "a lesser reading does not hide it");
         assert!(after(3_000) < 50.0);
         let reader = PauseForecast {
-            read_lately: after(100),
+            recent_prefill: after(100),
             ..forecast(1.0)
         };
-        let none = WorkAtEngine::default();
+        let none = EngineLoad::default();
         assert!(reader.own_lateness(none.all_prompt_tokens(), Some(BOUND)) > 0.8);
         assert!(forecast(1.0).own_lateness(none.all_prompt_tokens(), Some(BOUND)) < 0.01);
     }
@@ -76,21 +76,21 @@
 
     #[test]
     fn only_streams_that_a_reading_makes_late_are_counted() {
-        let keeping_pace = WorkAtEngine {
+        let keeping_pace = EngineLoad {
             outputs: 6.0,
             streams: 6.0,
-            shortest_bound: Some(BOUND),
-            ..WorkAtEngine::default()
+            min_event_gap_limit: Some(BOUND),
+            ..EngineLoad::default()
         };
-        let late_already = WorkAtEngine {
+        let late_already = EngineLoad {
             prompt_tokens: [0.0, 40_000.0, 0.0, 0.0],
             ..keeping_pace
         };
-        let no_bound = WorkAtEngine {
-            shortest_bound: None,
+        let no_bound = EngineLoad {
+            min_event_gap_limit: None,
             ..keeping_pace
         };
-        let made_late = |work: &WorkAtEngine| forecast(1.0).streams_made_late(work, 8_000.0, Some(0.0));
+        let made_late = |work: &EngineLoad| forecast(1.0).streams_made_late(work, 8_000.0, Some(0.0));
         assert!(made_late(&keeping_pace) > 4.0);
         assert!(made_late(&late_already) < 0.1);
         assert!(made_late(&no_bound) == 0.0);
@@ -123,15 +123,15 @@
             shortest_bound_millis: bound_millis,
             ..PeerWork::default()
         };
-        router.on_peer_work(&NodeId::new("other"), WorkSlice::ALL, &[(handle, work)], NOW);
+        router.on_peer_load(&NodeId::new("other"), WorkSlice::ALL, &[(handle, work)], NOW);
         router
     }
 
-    fn route(router: &PoolRouter, tokens: u32, longest_pause: Option<Duration>) -> PoolRoute {
-        asked(tokens, longest_pause, |query| router.choose(query, NOW))
+    fn route(router: &PoolRouter, tokens: u32, max_event_gap: Option<Duration>) -> PoolRoute {
+        asked(tokens, max_event_gap, |query| router.choose(query, NOW))
     }
 
-    fn asked<T>(tokens: u32, longest_pause: Option<Duration>, ask: impl FnOnce(&PoolQuery<'_>) -> T) -> T {
+    fn asked<T>(tokens: u32, max_event_gap: Option<Duration>, ask: impl FnOnce(&PoolQuery<'_>) -> T) -> T {
         let prompt = PromptShape {
             model: "m".to_owned(),
             parts: vec![PromptPart { name: 1, tokens }],
@@ -148,7 +148,7 @@
             excluded: &[],
             last_resort: false,
             terms: RequestTerms {
-                longest_pause,
+                max_event_gap,
                 ..RequestTerms::default()
             },
             draw: 0,
@@ -167,17 +167,17 @@
         let mut send = |bound_millis| {
             let bound = Some(Duration::from_millis(bound_millis));
             asked(0, bound, |query| {
-                one.on_output_sent(&engine, query, OutputWay::Fetches, NOW)
+                one.on_output_sent(&engine, query, KvCacheSource::Transfer, NOW)
             })
         };
         let (_, strict) = (send(300), send(200));
         let mut heard = |one: &PoolRouter| {
-            other.on_peer_work(&NodeId::new("one"), WorkSlice::ALL, &one.own_work(), NOW);
-            let work = other.engine(&engine).unwrap().work(NOW);
-            (work.streams, work.shortest_bound)
+            other.on_peer_load(&NodeId::new("one"), WorkSlice::ALL, &one.own_load(), NOW);
+            let work = other.engine(&engine).unwrap().load(NOW);
+            (work.streams, work.min_event_gap_limit)
         };
         assert_eq!(heard(&one), (2.0, Some(Duration::from_millis(200))));
-        one.on_paused_too_long(&strict);
+        one.on_event_gap_exceeded(&strict);
         assert_eq!(heard(&one), (1.0, Some(Duration::from_millis(300))));
     }
 
@@ -211,7 +211,7 @@
             shortest_bound_millis: 1,
             ..PeerWork::default()
         };
-        router.on_peer_work(&NodeId::new("other"), WorkSlice::ALL, &[(handle, work)], NOW);
+        router.on_peer_load(&NodeId::new("other"), WorkSlice::ALL, &[(handle, work)], NOW);
         let bound = Some(Duration::from_millis(1));
         assert!(matches!(route(&router, 4_000_000, bound), PoolRoute::Whole(_)));
     }
--- a/crates/core/tests/pool_router.rs
+++ b/crates/core/tests/pool_router.rs
@@ -9,8 +9,8 @@
 use shelfjunction_core::forwarding::PoolId;
 use shelfjunction_core::identity::{EngineId, NodeId, ZoneId};
 use shelfjunction_core::routing::pool::{
-    EngineStage, OutputWay, PeerWork, PoolEngine, PoolQuery, PoolRoute, PoolRouter, PoolWeights, PrefixBlock,
-    PromptPart, PromptShape, RequestTerms, WorkSlice, WorkingSetSettings,
+    EngineStage, KvCacheSource, PeerWork, PoolEngine, PoolQuery, PoolRoute, PoolRouter, PoolWeights,
+    PrefixBlock, PromptPart, PromptShape, RequestTerms, WorkSlice, WorkingSetSettings,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -125,7 +125,7 @@
     let asked = Asked::new(1);
     let home = EngineId::new(split(router.choose(&asked.query(), NOW)).0);
     let ticket = router.on_prompt_sent(&home, &asked.query(), NOW);
-    router.on_prompt_read(&ticket, &asked.prefixes, NOW + Duration::from_millis(400));
+    router.on_prompt_prefilled(&ticket, &asked.prefixes, NOW + Duration::from_millis(400));
     let later = NOW + Duration::from_millis(500);
     assert_eq!(
         router.fetch_source(&home, &asked.query(), later),
@@ -144,7 +144,7 @@
         shortest_bound_millis: 0,
     };
     let handle = router.engine(&home).unwrap().handle;
-    router.on_peer_work(&NodeId::new("other"), WorkSlice::ALL, &[(handle, work)], later);
+    router.on_peer_load(&NodeId::new("other"), WorkSlice::ALL, &[(handle, work)], later);
     let elsewhere = EngineId::new(split(router.choose(&asked.query(), later)).0);
     assert_ne!(elsewhere, home);
     let source = router.engine(&home).unwrap().engine.address;
@@ -152,10 +152,10 @@
         router.fetch_source(&elsewhere, &asked.query(), later),
         Some(source)
     );
-    router.on_peer_work(&NodeId::new("other"), WorkSlice::ALL, &[], later);
+    router.on_peer_load(&NodeId::new("other"), WorkSlice::ALL, &[], later);
     let again = EngineId::new(split(router.choose(&asked.query(), later)).0);
     assert_eq!(
-        router.engine(&again).unwrap().work(later).requests,
+        router.engine(&again).unwrap().load(later).requests,
         0.0,
         "the other node's work has ended"
     );
@@ -177,7 +177,7 @@
         streams: 0,
         shortest_bound_millis: 0,
     };
-    router.on_peer_work(&NodeId::new("other"), WorkSlice::ALL, &[(handle, work)], NOW);
+    router.on_peer_load(&NodeId::new("other"), WorkSlice::ALL, &[(handle, work)], NOW);
     assert_eq!(split(router.choose(&asked.query(), NOW)).0, home.as_str());
 }
 
@@ -238,10 +238,10 @@
         engine("d2", EngineStage::Decode),
     ]);
     let asked = Asked::new(1);
-    let ticket = router.on_output_sent(&EngineId::new("d1"), &asked.query(), OutputWay::Fetches, NOW);
+    let ticket = router.on_output_sent(&EngineId::new("d1"), &asked.query(), KvCacheSource::Transfer, NOW);
     router.on_broken(&ticket, NOW);
     assert_eq!(split(router.choose(&asked.query(), NOW)).1, "d2");
-    let ticket = router.on_output_sent(&EngineId::new("d2"), &asked.query(), OutputWay::Fetches, NOW);
+    let ticket = router.on_output_sent(&EngineId::new("d2"), &asked.query(), KvCacheSource::Transfer, NOW);
     router.on_refused(&ticket, EngineRefusalReason::QueueFull, NOW);
     assert!(matches!(
         router.choose(&asked.query(), NOW),
@@ -254,17 +254,17 @@
     let (mut one, mut other) = (router(&split_pool()), router(&split_pool()));
     let asked = Asked::new(5);
     let ticket = one.on_prompt_sent(&EngineId::new("p2"), &asked.query(), NOW);
-    one.on_prompt_read(&ticket, &asked.prefixes, NOW);
-    let news = one.take_news(8);
-    assert!(one.take_news(8).is_empty());
-    other.on_peer_news(&news, NOW);
+    one.on_prompt_prefilled(&ticket, &asked.prefixes, NOW);
+    let news = one.take_prefix_updates(8);
+    assert!(one.take_prefix_updates(8).is_empty());
+    other.on_prefix_updates(&news, NOW);
     let source = other.engine(&EngineId::new("p2")).unwrap().engine.address;
     assert_eq!(
         other.fetch_source(&EngineId::new("p1"), &asked.query(), NOW),
         Some(source)
     );
     let mut started = router(&split_pool());
-    started.on_peer_news(&other.held(), NOW);
+    started.on_prefix_updates(&other.prefix_snapshot(), NOW);
     assert_eq!(
         started.fetch_source(&EngineId::new("p1"), &asked.query(), NOW),
         Some(source)
@@ -276,7 +276,7 @@
     let mut router = router(&split_pool());
     for shared in 0..2_000 {
         let asked = Asked::new(shared);
-        router.on_held_list(
+        router.on_prefix_list(
             &EngineId::new("p1"),
             &asked.prefixes,
             NOW + Duration::from_millis(shared),
@@ -328,24 +328,24 @@
         !of_slice(0).is_empty() && !of_slice(1).is_empty(),
         "the engines fall into both"
     );
-    router.on_peer_work(&node, slice(0), &of_slice(0), NOW);
-    router.on_peer_work(&node, slice(1), &of_slice(1), NOW);
+    router.on_peer_load(&node, slice(0), &of_slice(0), NOW);
+    router.on_peer_load(&node, slice(1), &of_slice(1), NOW);
     let busy = |router: &PoolRouter| {
         router
             .engines()
-            .filter(|state| state.work(NOW).requests > 0.0)
+            .filter(|state| state.load(NOW).requests > 0.0)
             .count()
     };
     assert_eq!(busy(&router), handles.len());
-    router.on_peer_work(&node, WorkSlice::NOTHING, &[], NOW);
+    router.on_peer_load(&node, WorkSlice::NOTHING, &[], NOW);
     assert_eq!(
         busy(&router),
         handles.len(),
         "a message about nothing changes nothing"
     );
-    router.on_peer_work(&node, slice(1), &[], NOW);
+    router.on_peer_load(&node, slice(1), &[], NOW);
     assert_eq!(busy(&router), of_slice(0).len());
-    router.on_peer_work(&node, WorkSlice::ALL, &[], NOW);
+    router.on_peer_load(&node, WorkSlice::ALL, &[], NOW);
     assert_eq!(busy(&router), 0);
 }
 
@@ -397,8 +397,8 @@
     let engine = EngineId::new("p1");
     let mut read = |asked: &Asked, at: MonotonicTime| {
         let ticket = teller.on_prompt_sent(&engine, &asked.query(), at);
-        teller.on_prompt_read(&ticket, &asked.prefixes, at);
-        hearer.on_peer_news(&teller.take_news(64), at);
+        teller.on_prompt_prefilled(&ticket, &asked.prefixes, at);
+        hearer.on_prefix_updates(&teller.take_prefix_updates(64), at);
         let state = hearer.engine(&engine).unwrap();
         state.prefixes.held_tokens(&shared.prefixes[..1])
     };
@@ -498,12 +498,12 @@
         .chain([spot("b0", "zone-b", false)])
         .collect();
     let mut router = router_with(PoolWeights::default(), 8, None, &listed);
-    assert!(!router.note_reclaims(NOW));
+    assert!(!router.update_reclaimed_zones(NOW));
     router.on_engine(spot("a0", "zone-a", true));
-    assert!(!router.note_reclaims(NOW), "one may be replaced");
+    assert!(!router.update_reclaimed_zones(NOW), "one may be replaced");
     router.on_engine(spot("a1", "zone-a", true));
     router.on_engine(spot("a2", "zone-a", true));
-    assert!(router.note_reclaims(NOW));
+    assert!(router.update_reclaimed_zones(NOW));
     assert_eq!(router.taking_work(NOW), 1, "the one of the other zone");
     let later = NOW + Duration::from_secs(4);
     assert_eq!(router.taking_work(later), 4, "those that stay after all");
--- a/crates/core/tests/rate_limit_choice.rs
+++ b/crates/core/tests/rate_limit_choice.rs
@@ -10,7 +10,7 @@
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::rate_limit::{AnsweredLimit, LimitChange, LimitNotice, RateLimit};
 use shelfjunction_core::routing::pool::{
-    EngineStage, OutputWay, PoolEngine, PoolQuery, PoolRoute, PoolRouter, PoolWeights, RequestTerms,
+    EngineStage, KvCacheSource, PoolEngine, PoolQuery, PoolRoute, PoolRouter, PoolWeights, RequestTerms,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -86,7 +86,7 @@
     no_slot_for(&mut router, "b", 400);
     assert_eq!(choose(&router, 500), Some("a".to_owned()), "the shorter wait");
     assert_eq!(choose(&router, 100), None, "also where nothing else is left");
-    let wait = router.next_acceptance(&asked.query(100), NOW);
+    let wait = router.time_until_accepted(&asked.query(100), NOW);
     assert_eq!(
         wait,
         Some(Duration::from_millis(200)),
@@ -159,7 +159,7 @@
     // Sixteen a second for long: eight fall to each engine.
     for _ in 0..800 {
         now = now + Duration::from_micros(62_500);
-        let ticket = router.on_output_sent(&EngineId::new("b"), &asked.query(0), OutputWay::Reads, now);
+        let ticket = router.on_output_sent(&EngineId::new("b"), &asked.query(0), KvCacheSource::Prefill, now);
         router.on_answered(&ticket);
     }
     let parts = part(&router, now);
--- a/crates/core/tests/sharing_placers.rs
+++ b/crates/core/tests/sharing_placers.rs
@@ -320,7 +320,7 @@
     let mut work = PeerWork::default();
     work.prompt_tokens[0] = 15_000;
     let now = MonotonicTime::from_millis(1_000);
-    router.on_peer_work(&NodeId::new("other"), WorkSlice::ALL, &[(engine, work)], now);
+    router.on_peer_load(&NodeId::new("other"), WorkSlice::ALL, &[(engine, work)], now);
     for (tenant, tokens, is_admitted) in [("large", 1e5, true), ("small", 1e4, true), ("small", 1e6, false)] {
         let request = TenantRequest {
             tenant: SubjectHandle::of_text("tenant", tenant),
--- a/crates/core/tests/sharing_world/mod.rs
+++ b/crates/core/tests/sharing_world/mod.rs
@@ -358,12 +358,12 @@
     fn tell_work(&mut self) {
         let now = self.now();
         for sender in 0..self.placers.len() {
-            let works = self.placers[sender].router.own_work();
+            let works = self.placers[sender].router.own_load();
             let name = NodeId::new(format!("placer-{sender}"));
             for hearer in 0..self.placers.len() {
                 if hearer != sender && !self.placers[sender].dead {
                     let router = &mut self.placers[hearer].router;
-                    router.on_peer_work(&name, WorkSlice::ALL, &works, now);
+                    router.on_peer_load(&name, WorkSlice::ALL, &works, now);
                 }
             }
         }
--- a/crates/core/tests/working_set.rs
+++ b/crates/core/tests/working_set.rs
@@ -6,8 +6,9 @@
 use shelfjunction_core::identity::{EngineId, ZoneId};
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::routing::pool::{
-    Admission, EngineStage, OutputWay, PeerWork, PoolAdmission, PoolEngine, PoolQuery, PoolRoute, PoolRouter,
-    PoolTicket, PoolWeights, PrefixBlock, PromptPart, PromptShape, RequestTerms, Timing, WorkSlice,
+    Admission, EngineStage, KvCacheSource, PeerWork, PoolAdmission, PoolEngine, PoolQuery, PoolRoute,
+    PoolRouter, PoolTicket, PoolWeights, PrefixBlock, PromptPart, PromptShape, RequestTerms, Timing,
+    WorkSlice,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::collections::BTreeSet;
@@ -119,7 +120,7 @@
         tickets.extend(match decision.route {
             PoolRoute::Split { prefill, .. } => Some(router.on_prompt_sent(&prefill.id, &query, now)),
             PoolRoute::Whole(engine) => {
-                Some(router.on_output_sent(&engine.id, &query, OutputWay::Reads, now))
+                Some(router.on_output_sent(&engine.id, &query, KvCacheSource::Prefill, now))
             }
             PoolRoute::Nowhere => None,
         });
@@ -208,7 +209,7 @@
     let (_, tickets) = burst(&mut router, REQUESTS, at(1_000));
     tickets
         .iter()
-        .for_each(|ticket| router.on_prompt_read(ticket, &[], at(1_500)));
+        .for_each(|ticket| router.on_prompt_prefilled(ticket, &[], at(1_500)));
     let grown = in_use(&router, EngineStage::Prefill);
     router.keep_working_set(at(11_000));
     assert_eq!(in_use(&router, EngineStage::Prefill), grown, "ten seconds later");
@@ -228,7 +229,7 @@
         ..PeerWork::default()
     };
     let peer = shelfjunction_core::identity::NodeId::new("peer");
-    router.on_peer_work(&peer, WorkSlice::ALL, &[(handle, work)], at(10));
+    router.on_peer_load(&peer, WorkSlice::ALL, &[(handle, work)], at(10));
     assert!(router.engine(&reserved).is_some());
 }
 
--- a/crates/lab/src/fleet/traffic.rs
+++ b/crates/lab/src/fleet/traffic.rs
@@ -4,7 +4,7 @@
 use shelfjunction_core::forwarding::{CallerLimits, ForwardingConfig, ModelTraits, PoolConfig, PoolId};
 use shelfjunction_core::identity::ZoneId;
 use shelfjunction_core::routing::pool::{
-    Admission, OutputWay, PoolAdmission, PoolQuery, PoolRoute, PoolRouter, PoolTicket, PoolWeights,
+    Admission, KvCacheSource, PoolAdmission, PoolQuery, PoolRoute, PoolRouter, PoolTicket, PoolWeights,
     PromptPart, PromptShape, RequestTerms, Timing,
 };
 use shelfjunction_core::time::MonotonicTime;
@@ -128,7 +128,7 @@
                 endings.insert(ends_at(delay.as_secs_f64()), Ending::Read(ticket, prompt));
             }
             PoolRoute::Whole(engine) => {
-                let ticket = router.on_output_sent(&engine.id, &query, OutputWay::Reads, now);
+                let ticket = router.on_output_sent(&engine.id, &query, KvCacheSource::Prefill, now);
                 let reading = f64::from(prompt.tokens) * 2.0 / READING_PACE;
                 endings.insert(ends_at(reading + OUTPUT_SECONDS), Ending::Answered(ticket));
             }
@@ -143,7 +143,7 @@
 
 fn end(router: &mut PoolRouter, ending: Ending, now: MonotonicTime) {
     match ending {
-        Ending::Read(ticket, prompt) => router.on_prompt_read(&ticket, &prompt.prefixes(), now),
+        Ending::Read(ticket, prompt) => router.on_prompt_prefilled(&ticket, &prompt.prefixes(), now),
         Ending::Answered(ticket) => router.on_answered(&ticket),
     }
 }
--- a/crates/lab/src/scale/hollow_node.rs
+++ b/crates/lab/src/scale/hollow_node.rs
@@ -34,7 +34,7 @@
 const READS_PER_LIST: u64 = 2;
 
 /// Longest wait between reads while the store is away.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(15);
+const MAX_BACKOFF: Duration = Duration::from_secs(15);
 
 /// Time between two looks at which engines are watched.
 const WATCH_REFRESH: Duration = Duration::from_secs(1);
@@ -254,7 +254,7 @@
         };
         schedule.backoff = match read {
             Ok(()) => STORE_INTERVAL,
-            Err(_) => (schedule.backoff * 2).min(LONGEST_BACKOFF),
+            Err(_) => (schedule.backoff * 2).min(MAX_BACKOFF),
         };
         let jitter = schedule.random.random_range(0.75..1.25);
         schedule.next_store = self.surroundings.clock.now() + schedule.backoff.mul_f64(jitter);
--- a/crates/node/src/context.rs
+++ b/crates/node/src/context.rs
@@ -293,13 +293,13 @@
         if reserved > 0 {
             log::info!(changes = listed, reserved, source; "engines_reserved");
         }
-        self.note_reclaims(source);
+        self.update_reclaimed_zones(source);
         self.state.note_listed();
     }
 
     /// Looks whether a zone takes its spot engines back, after engines began to drain.
-    pub(crate) fn note_reclaims(&self, source: &str) {
-        if lock(&self.router).note_reclaims(self.now()) {
+    pub(crate) fn update_reclaimed_zones(&self, source: &str) {
+        if lock(&self.router).update_reclaimed_zones(self.now()) {
             log::info!(source; "spot_engines_taken_back");
         }
     }
--- a/crates/node/src/cordons/view.rs
+++ b/crates/node/src/cordons/view.rs
@@ -40,7 +40,7 @@
 }
 
 fn engine_view(state: &EngineState, now: MonotonicTime) -> EngineView {
-    let work = state.work(now);
+    let work = state.load(now);
     let alone = state.left_alone(now);
     EngineView {
         engine: state.engine.id.as_str().to_owned(),
@@ -51,7 +51,7 @@
         work_factor: state.work_factor(now),
         requests: work.requests as u64,
         outputs: work.outputs as u64,
-        waiting: state.told_waiting(now),
+        waiting: state.reported_waiting(now),
         prompt_tokens: work.all_prompt_tokens() as u64,
         left_alone: alone.map(|alone| cause_name(alone).to_owned()),
         left_alone_seconds: alone.and_then(remaining).map(|time| time.as_secs_f64()),
--- a/crates/node/src/course/accounting.rs
+++ b/crates/node/src/course/accounting.rs
@@ -8,7 +8,7 @@
 use shelfjunction_core::engine::EngineRefusalReason;
 use shelfjunction_core::identity::EngineId;
 use shelfjunction_core::placing::question::{ChosenEngine, Progress};
-use shelfjunction_core::routing::pool::{PoolTicket, ToldLoad};
+use shelfjunction_core::routing::pool::{PoolTicket, ReportedLoad};
 use shelfjunction_core::time::MonotonicTime;
 use shelfjunction_threads::lock;
 use std::time::Duration;
@@ -81,16 +81,16 @@
     /// The prompt has been read; a placer learns it from the question for the output.
     pub(super) fn count_prompt_read(&self, account: &Account, now: MonotonicTime) {
         if let Account::Own(ticket) = account {
-            lock(&self.context.router).on_prompt_read(ticket, &self.prefixes, now);
+            lock(&self.context.router).on_prompt_prefilled(ticket, &self.prefixes, now);
         }
         self.context.peers.note_change();
     }
 
     /// The first event has come.
-    pub(super) fn count_begun(&self, account: &Account, told: Option<ToldLoad>, now: MonotonicTime) {
+    pub(super) fn count_begun(&self, account: &Account, told: Option<ReportedLoad>, now: MonotonicTime) {
         match account {
             Account::Own(ticket) => {
-                lock(&self.context.router).on_output_begun(ticket, &self.prefixes, now);
+                lock(&self.context.router).on_output_started(ticket, &self.prefixes, now);
                 belief_log::tell_changes(self.context);
                 self.context.peers.note_change();
             }
@@ -120,7 +120,7 @@
         &self,
         account: &Account,
         reason: EngineRefusalReason,
-        told: Option<ToldLoad>,
+        told: Option<ReportedLoad>,
         now: MonotonicTime,
     ) {
         match account {
--- a/crates/node/src/course/admitting.rs
+++ b/crates/node/src/course/admitting.rs
@@ -99,7 +99,7 @@
         let tenant = self.access.tenant.as_ref();
         RequestTerms {
             tenant: tenant.map(|tenant| SubjectHandle::of_text("tenant", tenant.as_str())),
-            longest_pause: self.route.event_gap,
+            max_event_gap: self.route.event_gap,
             single_try: self.route.repeat == RepeatRule::Never || self.route.maximum_runs <= 1,
             kind_rank: self.route.priority,
         }
--- a/crates/node/src/course/dispatching.rs
+++ b/crates/node/src/course/dispatching.rs
@@ -11,7 +11,7 @@
 use shelfjunction_core::placing::question::ChosenEngine;
 use shelfjunction_core::request::event::Event;
 use shelfjunction_core::request::specification::Target;
-use shelfjunction_core::routing::pool::{EngineBeliefs, EngineStage, Explanation, OutputWay};
+use shelfjunction_core::routing::pool::{EngineBeliefs, EngineStage, Explanation, KvCacheSource};
 use shelfjunction_core::time::MonotonicTime;
 use shelfjunction_threads::lock;
 use std::io::ErrorKind;
@@ -139,7 +139,7 @@
             requests_there = why.beliefs.requests,
             held_tokens = why.beliefs.held_tokens,
             fetch_from:? = fetch_from,
-            word_age_millis = why.beliefs.oldest_word.as_millis() as u64,
+            word_age_millis = why.beliefs.oldest_report_age.as_millis() as u64,
             work_factor_percent = why.beliefs.work_factor_percent,
             figure_age_millis:? = why.beliefs.figure_age.map(|age| age.as_millis() as u64);
             "dispatched"
@@ -167,9 +167,9 @@
             }
             Purpose::Output | Purpose::Whole => {
                 let way = if purpose == Purpose::Whole {
-                    OutputWay::Reads
+                    KvCacheSource::Prefill
                 } else {
-                    OutputWay::Fetches
+                    KvCacheSource::Transfer
                 };
                 let ticket = router.on_output_sent(engine, &query, way, now);
                 (Account::Own(ticket), max_wait::first_answer(self.route))
@@ -223,7 +223,7 @@
             prompt_tokens_ahead: chosen.prompt_tokens_ahead,
             requests: chosen.requests,
             held_tokens: chosen.held_tokens,
-            oldest_word: chosen.oldest_word,
+            oldest_report_age: chosen.oldest_report_age,
             work_factor_percent: chosen.work_factor_percent,
             figure_age: chosen.figure_age,
         },
--- a/crates/node/src/course/driver.rs
+++ b/crates/node/src/course/driver.rs
@@ -19,7 +19,7 @@
 use shelfjunction_core::request::machine::RequestMachine;
 use shelfjunction_core::request::specification::Placement;
 use shelfjunction_core::retry::arrivals::ArrivalAccount;
-use shelfjunction_core::routing::pool::{PoolQuery, PrefixBlock, PromptShape, ToldLoad};
+use shelfjunction_core::routing::pool::{PoolQuery, PrefixBlock, PromptShape, ReportedLoad};
 use shelfjunction_core::time::MonotonicTime;
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -90,7 +90,7 @@
     /// The last dispatch never left, so trying again costs no engine anything.
     pub(super) last_not_sent: bool,
     /// Load that the engine told which has just read the prompt.
-    pub(super) prompt_told: Option<ToldLoad>,
+    pub(super) prompt_told: Option<ReportedLoad>,
     /// Whether an engine has read the prompt.
     pub(super) prompt_is_read: bool,
     /// Factor by which the tenant had more than its share; one where it had not.
--- a/crates/node/src/course/gate.rs
+++ b/crates/node/src/course/gate.rs
@@ -7,7 +7,7 @@
 use crate::placing;
 use crate::rate_limits;
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
-use shelfjunction_core::engine_signals::LONGEST_BACKOFF;
+use shelfjunction_core::engine_signals::MAX_BACKOFF;
 use shelfjunction_core::identity::{AttemptId, EngineId};
 use shelfjunction_core::placing::question::Progress;
 use shelfjunction_core::rate_limit::Slot;
@@ -21,7 +21,7 @@
 const LEAST_RETURN: Duration = Duration::from_millis(100);
 
 /// The longest: that of the longest backoff.
-const MOST_RETURN: Duration = LONGEST_BACKOFF;
+const MOST_RETURN: Duration = MAX_BACKOFF;
 
 /// Longest time by which that is lengthened at random, so that not all callers come at once: that in which load returns to an
 /// engine. A shorter wait is doubled at most.
@@ -159,7 +159,7 @@
     /// again, spread so that not all callers come at once.
     pub(super) fn return_when_accepted(&self) -> Option<Duration> {
         let now = self.context.now();
-        let next = lock(&self.context.router).next_acceptance(&self.query(&[], now), now)?;
+        let next = lock(&self.context.router).time_until_accepted(&self.query(&[], now), now)?;
         log::info!(
             request = self.call.request.as_str(),
             accepted_in_millis = next.as_millis() as u64;
--- a/crates/node/src/course/pauses.rs
+++ b/crates/node/src/course/pauses.rs
@@ -78,8 +78,8 @@
         let beside = match &exchange.account {
             Account::Own(ticket) => {
                 let mut router = lock(&self.context.router);
-                router.on_paused_too_long(ticket);
-                Some(router.beside(engine, now))
+                router.on_event_gap_exceeded(ticket);
+                Some(router.concurrent_work(engine, now))
             }
             Account::Placer { at, .. } => {
                 let part = pause.as_secs_f64() / allowed.as_secs_f64().max(f64::MIN_POSITIVE);
--- a/crates/node/src/course/reading.rs
+++ b/crates/node/src/course/reading.rs
@@ -10,7 +10,7 @@
 use shelfjunction_core::engine::{AnswerPart, EngineRefusal};
 use shelfjunction_core::forwarding::max_wait;
 use shelfjunction_core::request::event::{Event, OpaquePart};
-use shelfjunction_core::routing::pool::ToldLoad;
+use shelfjunction_core::routing::pool::ReportedLoad;
 use shelfjunction_core::time::MonotonicTime;
 use shelfjunction_threads::lock;
 use std::time::Duration;
@@ -165,7 +165,12 @@
         }
     }
 
-    fn prompt_read(&mut self, handle: String, told: Option<ToldLoad>, now: MonotonicTime) -> Option<Event> {
+    fn prompt_read(
+        &mut self,
+        handle: String,
+        told: Option<ReportedLoad>,
+        now: MonotonicTime,
+    ) -> Option<Event> {
         let exchange = self.exchange.take()?;
         if let Some(told) = told {
             lock(&self.context.router).on_told(&exchange.engine, told, now);
--- a/crates/node/src/course/waiting.rs
+++ b/crates/node/src/course/waiting.rs
@@ -168,6 +168,6 @@
     told.unwrap_or_else(|| {
         lock(&context.router)
             .engine(&exchange.engine)
-            .is_some_and(|state| state.answers(now))
+            .is_some_and(|state| state.answered_recently(now))
     })
 }
--- a/crates/node/src/engine_signals/mod.rs
+++ b/crates/node/src/engine_signals/mod.rs
@@ -86,7 +86,7 @@
     if let Some(known) = &known {
         context.links.forget(known);
     }
-    context.note_reclaims(source);
+    context.update_reclaimed_zones(source);
     context.metrics.signals.draining_announced(source);
     log::info!(
         engine = known.as_ref().map_or("not in use", |known| known.as_str()),
@@ -106,7 +106,7 @@
         let is_new = router.backoff_remaining(handle, now).is_none();
         (
             is_new,
-            router.on_backoff_asked(engine, backoff.mul_f64(spread), now),
+            router.on_backoff_requested(engine, backoff.mul_f64(spread), now),
         )
     };
     if is_new {
--- a/crates/node/src/engine_signals/sending.rs
+++ b/crates/node/src/engine_signals/sending.rs
@@ -134,7 +134,7 @@
         }
         SignalDatagram::Overloaded(engine) => {
             let reason = EngineRefusalReason::QueueFull;
-            lock(&context.router).on_refused_elsewhere(*engine, reason, context.now());
+            lock(&context.router).on_refused_at_peer(*engine, reason, context.now());
             log::debug!(from:% = from; "engine_overloaded");
         }
     }
--- a/crates/node/src/peers/catching_up.rs
+++ b/crates/node/src/peers/catching_up.rs
@@ -128,7 +128,7 @@
     if let Some(set) = snapshot.cordons {
         cordons::take(context, set, &source);
     }
-    lock(&context.router).on_peer_news(&snapshot.held, context.now());
+    lock(&context.router).on_prefix_updates(&snapshot.held, context.now());
 }
 
 fn take_list(
@@ -231,7 +231,7 @@
         list,
         list_changes: list_changes.flatten(),
         held: if wanted.held {
-            lock(&context.router).held()
+            lock(&context.router).prefix_snapshot()
         } else {
             Vec::new()
         },
--- a/crates/node/src/peers/receiving.rs
+++ b/crates/node/src/peers/receiving.rs
@@ -10,7 +10,7 @@
 use crate::quarantine;
 use crate::rate_limits;
 use shelfjunction_core::membership::subject::SubjectHandle;
-use shelfjunction_core::routing::pool::ListNews;
+use shelfjunction_core::routing::pool::ListUpdate;
 use shelfjunction_core::sharing::UseWord;
 use shelfjunction_protocol::node_words::{Datagram, MOST_RECEIVED, WorkMessage};
 use shelfjunction_protocol::rate_messages::RateDatagram;
@@ -119,8 +119,8 @@
     context.peers.note_versions(context, versions);
     let in_large_fleet = !message.silences.is_empty() && context.peers.placing(now) != Placing::Each;
     let mut router = lock(&context.router);
-    router.on_peer_work(&message.node, message.slice, &message.work, now);
-    router.on_peer_news(&message.news, now);
+    router.on_peer_load(&message.node, message.slice, &message.work, now);
+    router.on_prefix_updates(&message.news, now);
     router.on_pace_words(&message.paces, now);
     router.on_peer_demand(&message.node, message.prompt_tokens_per_second, now);
     router.on_ordered(&message.orders, now);
@@ -143,7 +143,7 @@
     }
 }
 
-fn take_list_news(context: &Context, news: ListNews, from: SocketAddr) {
+fn take_list_news(context: &Context, news: ListUpdate, from: SocketAddr) {
     let has_changed = context.update_list(&format!("peer {from}"), |listing| {
         let taken = news.apply_to(listing);
         if !taken.is_empty() {
--- a/crates/node/src/peers/sending.rs
+++ b/crates/node/src/peers/sending.rs
@@ -176,7 +176,7 @@
     /// Tells of the work at engines, in as many slices as it takes.
     fn tell_of_work(&mut self, confirmed: bool, now: MonotonicTime) -> Duration {
         let peers = self.context.peers.told(now);
-        let work = lock(&self.context.router).own_work();
+        let work = lock(&self.context.router).own_load();
         let slices = work.len().div_ceil(ENGINES_PER_SLICE).max(1) as u16;
         let mut sent = 0;
         for index in 0..slices {
@@ -194,7 +194,7 @@
             message.work = works.clone();
             {
                 let mut router = lock(&self.context.router);
-                message.news = router.take_news(MOST_NEWS);
+                message.news = router.take_prefix_updates(MOST_NEWS);
                 message.silences = router.take_silences(MOST_SILENCES, now);
             }
             message.paces = self.pace_words(now);
@@ -311,7 +311,7 @@
             slice,
             work: Vec::new(),
             prompt_tokens_per_second: router.own_demand(now),
-            orders: router.orders_under_way(now),
+            orders: router.pending_stage_orders(now),
             news: Vec::new(),
             silences: Vec::new(),
             paces: PaceWords::default(),
--- a/crates/node/src/placing/answering.rs
+++ b/crates/node/src/placing/answering.rs
@@ -57,7 +57,7 @@
         prompt_tokens_ahead = chosen.map_or(0, |chosen| chosen.prompt_tokens_ahead),
         requests_there = chosen.map_or(0, |chosen| chosen.requests),
         held_tokens = chosen.map_or(0, |chosen| chosen.held_tokens),
-        word_age_millis = chosen.map_or(0, |chosen| chosen.oldest_word.as_millis() as u64);
+        word_age_millis = chosen.map_or(0, |chosen| chosen.oldest_report_age.as_millis() as u64);
         "placement_given"
     );
 }
@@ -82,7 +82,7 @@
     let Some(engine) = engine else {
         return;
     };
-    let beside = lock(&context.router).beside(&engine, context.now());
+    let beside = lock(&context.router).concurrent_work(&engine, context.now());
     log::info!(
         number = report.key.number,
         step = report.step,
@@ -103,7 +103,7 @@
         let router = lock(&context.router);
         let engine = router.engine_named(question.engine);
         engine
-            .and_then(|engine| router.engine(&engine).map(|state| state.answers(now)))
+            .and_then(|engine| router.engine(&engine).map(|state| state.answered_recently(now)))
             .unwrap_or(false)
     };
     let answer = LivenessAnswer {
--- a/crates/node/src/ports/engines.rs
+++ b/crates/node/src/ports/engines.rs
@@ -4,7 +4,7 @@
 use shelfjunction_core::engine::{EngineRefusal, KvTransfer};
 use shelfjunction_core::engine_signals::EngineSignals;
 use shelfjunction_core::identity::{EngineId, FencingToken, NodeId, TenantId};
-use shelfjunction_core::routing::pool::{EngineStage, PromptPart, ToldLoad};
+use shelfjunction_core::routing::pool::{EngineStage, PromptPart, ReportedLoad};
 use std::io;
 use std::net::SocketAddr;
 use std::os::fd::BorrowedFd;
@@ -18,7 +18,7 @@
     /// Headers that are passed on.
     pub headers: Vec<HeaderLine>,
     /// Load that the engine told.
-    pub told: Option<ToldLoad>,
+    pub told: Option<ReportedLoad>,
 }
 
 /// Which part of a request an engine is to do.
@@ -133,7 +133,7 @@
         /// Name of the KV cache at that engine.
         handle: String,
         /// Load that it told.
-        told: Option<ToldLoad>,
+        told: Option<ReportedLoad>,
     },
     /// The engine's report of itself.
     Report(EngineReport),
@@ -146,7 +146,7 @@
         /// Its words.
         refusal: EngineRefusal,
         /// Load that it told.
-        told: Option<ToldLoad>,
+        told: Option<ReportedLoad>,
     },
     /// The connection or the answer broke.
     Broken(&'static str),
--- a/crates/node/src/recovering.rs
+++ b/crates/node/src/recovering.rs
@@ -148,7 +148,7 @@
         Ok(EngineReading::Held(parts)) => {
             let blocks: Vec<PrefixBlock> = parts.iter().map(block).collect();
             log::info!(engine = engine.as_str(), parts = blocks.len(); "held_parts_listed");
-            lock(&context.router).on_held_list(engine, &blocks, context.now());
+            lock(&context.router).on_prefix_list(engine, &blocks, context.now());
             context.peers.note_change();
         }
         Ok(_) => log::info!(engine = engine.as_str(), cause = "refused"; "held_parts_not_listed"),
--- a/crates/protocol/src/node_words.rs
+++ b/crates/protocol/src/node_words.rs
@@ -14,7 +14,7 @@
 use shelfjunction_core::quarantine::word::{SuspectWord, TrialWord};
 use shelfjunction_core::retry::census::SharingWord;
 use shelfjunction_core::routing::pool::{
-    EngineStage, ListNews, PaceWords, PeerWork, PrefixNews, SilenceWord, WorkSlice,
+    EngineStage, ListUpdate, PaceWords, PeerWork, PrefixNews, SilenceWord, WorkSlice,
 };
 use shelfjunction_core::sharing::UseWord;
 use shelfjunction_core::watching::TableWord;
@@ -79,7 +79,7 @@
     /// Version of the operators' cordons that the sender has.
     pub cordons: u64,
     /// Changes of that list that the store has just told the sender.
-    pub list_news: ListNews,
+    pub list_news: ListUpdate,
     /// Engines that `work` is about.
     pub slice: WorkSlice,
     /// Work at engines; none where an engine of the slice is not named.
@@ -159,7 +159,7 @@
         let bytes = bincode::serde::encode_to_vec(&self, CODEC).ok()?;
         match &mut self {
             Self::Work(message) if bytes.len() > MOST_BYTES && !message.list_news.changes.is_empty() => {
-                message.list_news = ListNews::default();
+                message.list_news = ListUpdate::default();
                 self.encode()
             }
             Self::Work(message) if bytes.len() > MOST_BYTES && !message.paces.is_empty() => {
--- a/crates/protocol/tests/node_formats.rs
+++ b/crates/protocol/tests/node_formats.rs
@@ -9,7 +9,7 @@
 use shelfjunction_core::identity::{EngineId, EngineStart, NodeId, ZoneId};
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::routing::pool::{
-    EngineStage, KnownChanges, ListChange, ListNews, ListSnapshot, PeerWork, PoolEngine, PrefixBlock,
+    EngineStage, KnownChanges, ListChange, ListSnapshot, ListUpdate, PeerWork, PoolEngine, PrefixBlock,
     PrefixNews, WorkSlice,
 };
 use shelfjunction_protocol::node_snapshot::{Snapshot, SnapshotError, Wanted};
@@ -104,7 +104,7 @@
     );
     assert_eq!(
         message.list_news,
-        ListNews {
+        ListUpdate {
             base: 2,
             changes: vec![(3, ListChange::Listed(engine()))]
         }
