--- a/crates/core/src/placing/placement_table.rs
+++ b/crates/core/src/placing/placement_table.rs
@@ -221,7 +221,7 @@
         settings: &PoolAdmission,
         now: MonotonicTime,
     ) -> (AdmissionVerdict, Placement) {
-        let decision = router.admit_growing(&self.query(key, &[]), timing, settings, now);
+        let decision = router.admit_or_grow(&self.query(key, &[]), timing, settings, now);
         if !decision.expected.is_zero() {
             self.take_back_charge(router, now);
             let query = self.query(key, &[]);
@@ -255,7 +255,7 @@
         now: MonotonicTime,
     ) -> Placement {
         let excluded = router.engines_of(excluded);
-        let route = router.choose_growing(&self.query(key, &excluded), now);
+        let route = router.choose_or_grow(&self.query(key, &excluded), now);
         self.place(router, key, route, now)
     }
 
@@ -299,10 +299,10 @@
     ) -> Placement {
         let excluded = router.engines_of(excluded);
         // The node that asks may have had the prompt read by an engine that another placer chose.
-        let Some(source) = router.bring_in(source) else {
+        let Some(source) = router.bring_into_use(source) else {
             return Placement::Nowhere;
         };
-        let Some(engine) = router.choose_output_growing(&self.query(key, &excluded), &source, now) else {
+        let Some(engine) = router.choose_output_or_grow(&self.query(key, &excluded), &source, now) else {
             return Placement::Nowhere;
         };
         let mut chosen = self.chosen(router, key, &engine, now);
--- a/crates/core/src/routing/pool/choice.rs
+++ b/crates/core/src/routing/pool/choice.rs
@@ -174,7 +174,7 @@
             held_tokens: state.prefixes.held_tokens(query.prefixes),
             oldest_word: state.oldest_word(now),
             work_factor_percent: (state.work_factor(now) * 100.0) as u16,
-            figure_age: state.pace().figure_age(now),
+            figure_age: state.pace().momentary_age(now),
         }
     }
 
--- a/crates/core/src/routing/pool/dispatches.rs
+++ b/crates/core/src/routing/pool/dispatches.rs
@@ -245,9 +245,9 @@
                 let fixed = speed.fixed_seconds();
                 speed.observe(work.until_read * factor, took);
                 let kind = if work.way.is_none() {
-                    ObservedWork::Prompt
+                    ObservedWork::Prefill
                 } else {
-                    ObservedWork::PromptBesideOutputs
+                    ObservedWork::PrefillDuringDecode
                 };
                 let seen = PaceObservation {
                     kind,
--- a/crates/core/src/routing/pool/list_changes.rs
+++ b/crates/core/src/routing/pool/list_changes.rs
@@ -22,7 +22,7 @@
 
 impl KnownChanges {
     /// Nothing is known of changes up to a version.
-    pub fn none_before(version: u64) -> Self {
+    pub fn complete_since(version: u64) -> Self {
         Self {
             since: version,
             last: BTreeMap::new(),
--- a/crates/core/src/routing/pool/listing.rs
+++ b/crates/core/src/routing/pool/listing.rs
@@ -55,9 +55,9 @@
     unreadable: BTreeSet<String>,
     ended: EndedStarts,
     /// Everything up to this version is reflected.
-    reflected: u64,
+    reflected_version: u64,
     /// Version of the last change.
-    changed: u64,
+    last_change_version: u64,
     /// When entries last changed, those of engines that are not known here among them.
     known_changes: KnownChanges,
     /// Whether only the engines in use of another node are known.
@@ -67,7 +67,7 @@
 impl EngineListing {
     /// Takes changes, each with its version, up to `reflected`; returns those that are new, in the order of versions.
     pub fn apply(&mut self, mut changes: Vec<(u64, ListChange)>, reflected: u64) -> Vec<ListChange> {
-        let before = self.reflected;
+        let before = self.reflected_version;
         changes.sort_by_key(|(version, _)| *version);
         let mut taken = Vec::new();
         for (version, change) in changes {
@@ -80,35 +80,35 @@
             }
             let new = self.take(change);
             if !new.is_empty() {
-                self.changed = self.changed.max(version);
+                self.last_change_version = self.last_change_version.max(version);
             }
             taken.extend(new);
         }
-        self.reflected = self.reflected.max(reflected);
+        self.reflected_version = self.reflected_version.max(reflected);
         taken
     }
 
     /// Takes the whole list, if it is newer than what is known; returns the changes that it amounts to.
     pub fn replace(&mut self, snapshot: &ListSnapshot) -> Vec<ListChange> {
-        if snapshot.version < self.reflected {
+        if snapshot.version < self.reflected_version {
             return Vec::new();
         }
-        let knew_all = self.reflected > 0 && !self.partial;
+        let knew_all = self.reflected_version > 0 && !self.partial;
         let taken: Vec<ListChange> = self
             .changes_to(snapshot)
             .into_iter()
             .flat_map(|change| self.take(change))
             .collect();
         if !taken.is_empty() {
-            self.changed = snapshot.version;
+            self.last_change_version = snapshot.version;
         }
         if knew_all {
             let names = taken.iter().map(ListChange::name);
             names.for_each(|name| self.known_changes.note(name, snapshot.version));
         } else {
-            self.known_changes = KnownChanges::none_before(snapshot.version);
+            self.known_changes = KnownChanges::complete_since(snapshot.version);
         }
-        self.reflected = snapshot.version;
+        self.reflected_version = snapshot.version;
         self.partial = false;
         taken
     }
@@ -117,21 +117,25 @@
     /// doesn't; an older one is given up, since nobody keeps it for a node that takes these. `changes` is what the other node
     /// knows of changes up to the version of the snapshot; of an older one only those engines are taken whose entries are known
     /// not to have changed since.
-    pub fn replace_in_use(&mut self, snapshot: &ListSnapshot, changes: &KnownChanges) -> Vec<ListChange> {
-        if !self.partial && self.reflected >= snapshot.version {
+    pub fn apply_in_use_snapshot(
+        &mut self,
+        snapshot: &ListSnapshot,
+        changes: &KnownChanges,
+    ) -> Vec<ListChange> {
+        if !self.partial && self.reflected_version >= snapshot.version {
             return Vec::new();
         }
         self.partial = true;
-        if snapshot.version < self.reflected {
+        if snapshot.version < self.reflected_version {
             return self.add_unknown(snapshot);
         }
-        self.known_changes.extend(changes, self.reflected);
-        self.reflected = snapshot.version;
+        self.known_changes.extend(changes, self.reflected_version);
+        self.reflected_version = snapshot.version;
         let mut taken = self.drop_unnamed(snapshot);
         let engines = snapshot.engines.iter().cloned();
         taken.extend(engines.flat_map(|engine| self.take_listed(engine)));
         if !taken.is_empty() {
-            self.changed = snapshot.version;
+            self.last_change_version = snapshot.version;
         }
         taken
     }
@@ -194,7 +198,7 @@
     /// The whole list, for another node.
     pub fn snapshot(&self) -> ListSnapshot {
         ListSnapshot {
-            version: self.reflected,
+            version: self.reflected_version,
             engines: self.engines.values().cloned().collect(),
             unreadable: self.unreadable.iter().cloned().collect(),
         }
@@ -207,7 +211,7 @@
             .iter()
             .filter_map(|engine| self.engines.get(engine.id.as_str()));
         ListSnapshot {
-            version: self.reflected,
+            version: self.reflected_version,
             engines: listed.cloned().collect(),
             unreadable: Vec::new(),
         }
@@ -219,13 +223,13 @@
     }
 
     /// Version up to which everything is reflected.
-    pub fn reflected(&self) -> u64 {
-        self.reflected
+    pub fn reflected_version(&self) -> u64 {
+        self.reflected_version
     }
 
     /// Version of the last change; a node that reflects less lacks something.
-    pub fn changed(&self) -> u64 {
-        self.changed
+    pub fn last_change_version(&self) -> u64 {
+        self.last_change_version
     }
 
     /// Whether this start of an engine is listed.
--- a/crates/core/src/routing/pool/mod.rs
+++ b/crates/core/src/routing/pool/mod.rs
@@ -51,8 +51,8 @@
 pub use list_changes::KnownChanges;
 pub use listing::{EngineListing, ListChange, ListSnapshot};
 pub use pace::{
-    EnginePace, EnginePaceUse, FigurePersistence, LastingPace, LastingWord, MomentaryPace, PaceChange,
-    PaceSpread, PaceWords, PoolPace, ToldFigure,
+    EnginePace, EnginePaceUse, LastingPace, LastingPaceReport, MomentaryPace, PaceChange, PacePersistence,
+    PaceReports, PaceSpread, PoolPace, ReportedPace,
 };
 pub use paths::{PathBelief, PathChange, Paths};
 pub use pool_speeds::PoolSpeeds;
--- a/crates/core/src/routing/pool/neighbours.rs
+++ b/crates/core/src/routing/pool/neighbours.rs
@@ -38,7 +38,7 @@
         }
         for (handle, work) in works {
             // An engine that another node uses is one that this node's next request may meet there.
-            self.bring_in(*handle);
+            self.bring_into_use(*handle);
             if let Some(state) = self.state_of(*handle) {
                 state.peers.insert(peer.clone(), (*work, now));
                 state
@@ -115,7 +115,7 @@
         let demand = self.demand.prompt_tokens_per_second(now);
         let demand = PoolDemand {
             prompt_tokens_per_second: demand.filter(|_| speed.is_learned()),
-            engine_tokens_per_second: speed.tokens_per_second() * self.mean_pace(pool),
+            engine_tokens_per_second: speed.tokens_per_second() * self.mean_relative_speed(pool),
         };
         (views.collect(), demand)
     }
--- a/crates/core/src/routing/pool/pace/mod.rs
+++ b/crates/core/src/routing/pool/pace/mod.rs
@@ -16,20 +16,20 @@
 pub(super) mod momentary;
 pub(super) mod persistence;
 pub(super) mod pool_pace;
+mod report;
 mod router;
-mod word;
 
 pub use lasting::LastingPace;
 pub use momentary::MomentaryPace;
-pub use persistence::FigurePersistence;
+pub use persistence::PacePersistence;
 pub use pool_pace::PoolPace;
 pub(super) use pool_pace::{ObservedWork, PaceObservation};
+pub use report::{LastingPaceReport, PaceReports, ReportedPace};
 pub use router::{PaceChange, PaceSpread};
-pub use word::{LastingWord, PaceWords, ToldFigure};
 
 use super::engine::ToldLoad;
 use crate::time::MonotonicTime;
-use momentary::FigureTraits;
+use momentary::PaceTraits;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -41,7 +41,8 @@
     Off,
     /// For pools of which an engine has told how long work takes on its machine at the moment.
     #[default]
-    WhereTold,
+    #[serde(rename = "where_told")]
+    WhereReported,
     /// For every pool; engines that don't tell are judged by what is seen of them.
     Always,
 }
@@ -51,7 +52,7 @@
 const BELIEVED_PERCENT: (u32, u32) = (10, 5_000);
 
 /// The momentary figure that an engine told, as a factor; absent where it told none or nonsense.
-pub(super) fn told_figure(told: &ToldLoad) -> Option<f64> {
+pub(super) fn reported_pace(told: &ToldLoad) -> Option<f64> {
     let (least, most) = BELIEVED_PERCENT;
     let percent = told.work_time_percent?;
     (least..=most)
@@ -69,7 +70,7 @@
     /// How its machine stands.
     pub momentary: MomentaryPace,
     /// How figures behave in its pool.
-    pub(super) traits: FigureTraits,
+    pub(super) traits: PaceTraits,
     /// Factor of the lasting speed that was last reported as a change.
     pub(super) reported: Option<f64>,
 }
@@ -96,7 +97,7 @@
     }
 
     /// Age of the momentary figure; absent where it counts no longer.
-    pub fn figure_age(&self, now: MonotonicTime) -> Option<Duration> {
+    pub fn momentary_age(&self, now: MonotonicTime) -> Option<Duration> {
         self.momentary.age(&self.traits, now)
     }
 }
--- a/crates/core/src/routing/pool/pace/momentary.rs
+++ b/crates/core/src/routing/pool/pace/momentary.rs
@@ -20,7 +20,7 @@
 
 /// How figures behave in a pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct FigureTraits {
+pub struct PaceTraits {
     /// Time after which a deviation from the usual figure has faded to a third, in seconds.
     pub persistence_seconds: f64,
     /// Mean of the figures.
@@ -62,12 +62,12 @@
     }
 
     /// The figure that is usual for the engine.
-    pub fn usual(&self, traits: &FigureTraits) -> f64 {
+    pub fn usual(&self, traits: &PaceTraits) -> f64 {
         self.usual.with(traits.usual, POOL_WEIGHT)
     }
 
     /// The figure that is believed now: the older the latest is, the nearer to the usual one.
-    pub fn factor(&self, traits: &FigureTraits, now: MonotonicTime) -> f64 {
+    pub fn factor(&self, traits: &PaceTraits, now: MonotonicTime) -> f64 {
         let usual = self.usual(traits);
         let Some((figure, at)) = self.latest else {
             return usual;
@@ -80,7 +80,7 @@
     }
 
     /// Age of the latest figure; absent where it counts no longer.
-    pub fn age(&self, traits: &FigureTraits, now: MonotonicTime) -> Option<Duration> {
+    pub fn age(&self, traits: &PaceTraits, now: MonotonicTime) -> Option<Duration> {
         let (_, at) = self.latest?;
         let age = now.since(at);
         (age.as_secs_f64() < COUNTS_FOR * traits.persistence_seconds).then_some(age)
@@ -107,7 +107,7 @@
     }
 
     /// Takes what an engine that tells no figure was seen to take beside what its lasting speed led to expect.
-    pub fn saw(&mut self, ratio: f64, traits: &FigureTraits, now: MonotonicTime) {
+    pub fn saw(&mut self, ratio: f64, traits: &PaceTraits, now: MonotonicTime) {
         if self.tells || !ratio.is_finite() {
             return;
         }
--- a/crates/core/src/routing/pool/pace/persistence.rs
+++ b/crates/core/src/routing/pool/pace/persistence.rs
@@ -41,14 +41,14 @@
 
 /// How long a told figure holds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct FigurePersistence {
+pub struct PacePersistence {
     /// Products of the deviations of two figures.
     seen: f64,
     /// What they would add up to, by candidate.
     expected: [f64; STEPS],
 }
 
-impl Default for FigurePersistence {
+impl Default for PacePersistence {
     fn default() -> Self {
         let mut expected = [0.0; STEPS];
         for (step, sum) in expected.iter_mut().enumerate() {
@@ -61,7 +61,7 @@
     }
 }
 
-impl FigurePersistence {
+impl PacePersistence {
     /// Takes two figures of an engine, as deviations from what is usual for it.
     pub fn observe(&mut self, first: f64, second: f64, gap: Duration) {
         if first.abs() < LEAST_DEVIATION || gap > LONGEST_GAP {
--- a/crates/core/src/routing/pool/pace/pool_pace.rs
+++ b/crates/core/src/routing/pool/pace/pool_pace.rs
@@ -1,7 +1,7 @@
 //! What the paces of a pool's engines have in common.
 
-use super::momentary::{FadingMean, FigureTraits};
-use super::persistence::{ASSUMED_SECONDS, FigurePersistence};
+use super::momentary::{FadingMean, PaceTraits};
+use super::persistence::{ASSUMED_SECONDS, PacePersistence};
 use std::time::Duration;
 
 /// Share of its weight that a figure keeps in the pool's usual one when the next comes.
@@ -36,11 +36,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::routing::pool) enum ObservedWork {
     /// Reading at an engine that reads prompts.
-    Prompt,
+    Prefill,
     /// Reading at an engine that runs outputs.
-    PromptBesideOutputs,
+    PrefillDuringDecode,
     /// Running an output.
-    Output,
+    Decode,
 }
 
 /// How long an engine took for something.
@@ -61,9 +61,9 @@
 pub struct PoolPace {
     /// Whether an engine of the pool has told a figure.
     pub(super) told: bool,
-    persistence: FigurePersistence,
+    persistence: PacePersistence,
     usual: FadingMean,
-    traits: FigureTraits,
+    traits: PaceTraits,
     token_seconds: f64,
     outputs: u32,
     /// Means of the logarithms of observed times over expected ones and lasting factors, by [`ObservedWork`].
@@ -74,9 +74,9 @@
     fn default() -> Self {
         Self {
             told: false,
-            persistence: FigurePersistence::default(),
+            persistence: PacePersistence::default(),
             usual: FadingMean::default(),
-            traits: FigureTraits::default(),
+            traits: PaceTraits::default(),
             token_seconds: 0.0,
             outputs: 0,
             centres: [FadingMean::default(); 3],
@@ -84,7 +84,7 @@
     }
 }
 
-impl Default for FigureTraits {
+impl Default for PaceTraits {
     fn default() -> Self {
         Self {
             persistence_seconds: ASSUMED_SECONDS,
@@ -95,7 +95,7 @@
 
 impl PoolPace {
     /// How figures behave in the pool.
-    pub fn traits(&self) -> FigureTraits {
+    pub fn traits(&self) -> PaceTraits {
         self.traits
     }
 
@@ -113,7 +113,7 @@
         if let Some((first, gap)) = before {
             self.persistence.observe(first - usual, figure - usual, gap);
         }
-        let traits = FigureTraits {
+        let traits = PaceTraits {
             persistence_seconds: self.persistence.seconds(),
             usual: self.usual.with(1.0, ASSUMED_WEIGHT),
         };
--- a/crates/core/src/routing/pool/pace/word.rs
+++ b/crates/core/src/routing/pool/pace/report.rs
@@ -5,7 +5,7 @@
 
 /// A momentary figure that an engine told the sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldFigure {
+pub struct ReportedPace {
     /// The engine.
     pub engine: SubjectHandle,
     /// The figure, in hundredths of what is usual.
@@ -16,7 +16,7 @@
 
 /// What the sender itself has seen of an engine's lasting speed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LastingWord {
+pub struct LastingPaceReport {
     /// The engine.
     pub engine: SubjectHandle,
     /// The factor, in thousandths.
@@ -27,21 +27,21 @@
 
 /// What a node tells others of engines' paces; a lost one is made good by a later one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PaceWords {
+pub struct PaceReports {
     /// Figures that differ from what their receivers would believe.
-    pub figures: Vec<ToldFigure>,
+    pub figures: Vec<ReportedPace>,
     /// Lasting speeds, of some engines at a time.
-    pub lasting: Vec<LastingWord>,
+    pub lasting: Vec<LastingPaceReport>,
 }
 
-impl PaceWords {
+impl PaceReports {
     /// Whether there is nothing in it.
     pub fn is_empty(&self) -> bool {
         self.figures.is_empty() && self.lasting.is_empty()
     }
 
     /// Whether there is nothing in it that has to be told soon.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_deferrable(&self) -> bool {
         self.figures.is_empty()
     }
 }
--- a/crates/core/src/routing/pool/pace/router.rs
+++ b/crates/core/src/routing/pool/pace/router.rs
@@ -1,8 +1,8 @@
 //! The paces of engines in the router: what teaches them, and what passes between nodes.
 
 use super::pool_pace::{ObservedWork, PaceObservation};
-use super::word::{LastingWord, PaceWords, ToldFigure};
-use super::{EnginePaceUse, told_figure};
+use super::report::{LastingPaceReport, PaceReports, ReportedPace};
+use super::{EnginePaceUse, reported_pace};
 use crate::forwarding::PoolId;
 use crate::identity::EngineId;
 use crate::routing::pool::engine::{EngineState, SentWork, ToldLoad};
@@ -56,26 +56,29 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PaceSpread {
     /// Least lasting factor.
-    pub lasting_least: f64,
+    pub min_lasting: f64,
     /// Greatest lasting factor.
-    pub lasting_most: f64,
+    pub max_lasting: f64,
     /// Greatest momentary factor.
-    pub momentary_most: f64,
+    pub max_momentary: f64,
     /// Engines whose momentary figure is known.
-    pub known_now: usize,
+    pub engines_with_current_pace: usize,
     /// Time for which a figure holds, in seconds; the shortest of the pools.
     pub persistence_seconds: f64,
 }
 
 impl PoolRouter {
     /// Takes the momentary figure that an engine told in an answer.
-    pub(in crate::routing::pool) fn on_figure(
+    pub(in crate::routing::pool) fn on_reported_pace(
         &mut self,
         engine: &EngineId,
         told: &ToldLoad,
         now: MonotonicTime,
     ) {
-        let (Some(figure), true) = (told_figure(told), self.weights.engine_pace != EnginePaceUse::Off) else {
+        let (Some(figure), true) = (
+            reported_pace(told),
+            self.weights.engine_pace != EnginePaceUse::Off,
+        ) else {
             return;
         };
         // A late word of an engine that is gone says nothing of those that stay, its own later start among them.
@@ -93,8 +96,8 @@
         pace.momentary.told(figure, now);
         let differs = figure.max(believed) / figure.min(believed) >= WORTH_TELLING;
         let handle = state.handle;
-        if differs && self.untold_figures.len() < MOST_WAITING && !self.untold_figures.contains(&handle) {
-            self.untold_figures.push(handle);
+        if differs && self.unsent_paces.len() < MOST_WAITING && !self.unsent_paces.contains(&handle) {
+            self.unsent_paces.push(handle);
         }
         if changed || !state.pace.in_use {
             let pool = state.engine.pool.clone();
@@ -111,7 +114,7 @@
     }
 
     /// Judges a newly listed engine by what is known of its pool.
-    pub(in crate::routing::pool) fn begin_pace(&self, state: &mut EngineState) {
+    pub(in crate::routing::pool) fn init_pace(&self, state: &mut EngineState) {
         take_traits(
             state,
             self.paces.get(&state.engine.pool),
@@ -190,7 +193,7 @@
         if let Some(token_seconds) = pool_pace.token_seconds() {
             let expected = token_seconds * tokens;
             let seen = PaceObservation {
-                kind: ObservedWork::Output,
+                kind: ObservedWork::Decode,
                 expected,
                 took: took.as_secs_f64(),
                 momentary,
@@ -211,7 +214,7 @@
 
     /// What an engine of a pool gets done on average, over what one does that is as quick as the pool and on a machine
     /// that stands as usual; one where paces don't decide.
-    pub(in crate::routing::pool) fn mean_pace(&self, pool: &PoolId) -> f64 {
+    pub(in crate::routing::pool) fn mean_relative_speed(&self, pool: &PoolId) -> f64 {
         let engines = self.engines.values().filter(|state| state.engine.pool == *pool);
         let paces: Vec<f64> = engines
             .filter(|state| state.pace.in_use && state.stays())
@@ -224,37 +227,37 @@
     }
 
     /// What other nodes are to be told: figures that surprised, and the lasting speeds of some engines in turn.
-    pub fn take_pace_words(
+    pub fn take_pace_reports(
         &mut self,
         most_figures: usize,
         most_lasting: usize,
         now: MonotonicTime,
-    ) -> PaceWords {
+    ) -> PaceReports {
         let rest = self
-            .untold_figures
-            .split_off(most_figures.min(self.untold_figures.len()));
-        let told = std::mem::replace(&mut self.untold_figures, rest);
+            .unsent_paces
+            .split_off(most_figures.min(self.unsent_paces.len()));
+        let told = std::mem::replace(&mut self.unsent_paces, rest);
         let figures = told.into_iter().filter_map(|handle| {
             let (figure, at) = self.state_of(handle)?.pace.momentary.latest()?;
-            Some(ToldFigure {
+            Some(ReportedPace {
                 engine: handle,
                 percent: (figure * 100.0) as u16,
                 age_millis: u16::try_from(now.since(at).as_millis()).unwrap_or(u16::MAX),
             })
         });
-        PaceWords {
+        PaceReports {
             figures: figures.collect(),
             lasting: self.next_lasting(most_lasting),
         }
     }
 
-    fn next_lasting(&mut self, most: usize) -> Vec<LastingWord> {
+    fn next_lasting(&mut self, most: usize) -> Vec<LastingPaceReport> {
         let last = self.lasting_cursor.clone();
         let is_next = |engine: &EngineId| last.as_ref().is_none_or(|last| engine > last);
         let following = self.engines.iter().filter(|(engine, _)| is_next(engine));
         let told = following.filter_map(|(engine, state)| {
             let (factor, weight) = state.pace.lasting.told()?;
-            let word = LastingWord {
+            let word = LastingPaceReport {
                 engine: state.handle,
                 thousandths: (factor * 1_000.0).round() as u16,
                 weight: weight.min(f64::from(u8::MAX)) as u8,
@@ -270,7 +273,7 @@
     }
 
     /// Takes another node's words of engines' paces.
-    pub fn on_pace_words(&mut self, words: &PaceWords, now: MonotonicTime) {
+    pub fn on_pace_reports(&mut self, words: &PaceReports, now: MonotonicTime) {
         if self.weights.engine_pace == EnginePaceUse::Off {
             return;
         }
@@ -280,7 +283,7 @@
                 ..ToldLoad::default()
             };
             let at = now - Duration::from_millis(u64::from(word.age_millis));
-            if let (Some(figure), Some(state)) = (told_figure(&told), self.state_of(word.engine)) {
+            if let (Some(figure), Some(state)) = (reported_pace(&told), self.state_of(word.engine)) {
                 state.pace.momentary.hear(figure, at);
             }
         }
@@ -303,13 +306,13 @@
         let lasting = || in_use().map(|state| state.pace.lasting.factor());
         let persistences = self.paces.values().map(|pace| pace.traits().persistence_seconds);
         Some(PaceSpread {
-            lasting_least: lasting().min_by(f64::total_cmp)?,
-            lasting_most: lasting().max_by(f64::total_cmp)?,
-            momentary_most: in_use()
+            min_lasting: lasting().min_by(f64::total_cmp)?,
+            max_lasting: lasting().max_by(f64::total_cmp)?,
+            max_momentary: in_use()
                 .map(|state| state.pace.momentary_factor(now))
                 .max_by(f64::total_cmp)?,
-            known_now: in_use()
-                .filter(|state| state.pace.figure_age(now).is_some())
+            engines_with_current_pace: in_use()
+                .filter(|state| state.pace.momentary_age(now).is_some())
                 .count(),
             persistence_seconds: persistences.min_by(f64::total_cmp).unwrap_or_default(),
         })
@@ -319,7 +322,7 @@
 fn take_traits(state: &mut EngineState, pool: Option<&super::PoolPace>, pace_use: EnginePaceUse) {
     state.pace.in_use = match pace_use {
         EnginePaceUse::Off => false,
-        EnginePaceUse::WhereTold => pool.is_some_and(|pool| pool.told),
+        EnginePaceUse::WhereReported => pool.is_some_and(|pool| pool.told),
         EnginePaceUse::Always => true,
     };
     state.pace.traits = pool.map(super::PoolPace::traits).unwrap_or_default();
--- a/crates/core/src/routing/pool/recent.rs
+++ b/crates/core/src/routing/pool/recent.rs
@@ -25,7 +25,7 @@
     /// Takes the changes into a list that reflects everything before them; returns those that are new.
     pub fn apply_to(self, listing: &mut EngineListing) -> Vec<ListChange> {
         match self.changes.last().map(|(version, _)| *version) {
-            Some(last) if listing.reflected() >= self.base => listing.apply(self.changes, last),
+            Some(last) if listing.reflected_version() >= self.base => listing.apply(self.changes, last),
             _ => Vec::new(),
         }
     }
@@ -50,12 +50,12 @@
         changes: &[(u64, ListChange)],
         now: MonotonicTime,
     ) {
-        if listing.reflected() > after {
+        if listing.reflected_version() > after {
             // Another node was faster; what it told is not told again, and these may not follow on what was.
             return self.reset();
         }
         if self.changes.is_empty() {
-            self.base = listing.changed();
+            self.base = listing.last_change_version();
         }
         for (version, change) in changes {
             self.changes.push_back((now, *version, change.clone()));
--- a/crates/core/src/routing/pool/router.rs
+++ b/crates/core/src/routing/pool/router.rs
@@ -39,7 +39,7 @@
     pub(super) untold_silences: Vec<UntoldSilence>,
     pub(super) engine_changes: Vec<EngineChange>,
     /// Engines whose momentary figure others are to be told.
-    pub(super) untold_figures: Vec<SubjectHandle>,
+    pub(super) unsent_paces: Vec<SubjectHandle>,
     /// The last engine whose lasting speed others were told.
     pub(super) lasting_cursor: Option<EngineId>,
     /// Changes of lasting speeds that are to be reported.
@@ -72,7 +72,7 @@
             paths: Paths::default(),
             untold_silences: Vec::new(),
             engine_changes: Vec::new(),
-            untold_figures: Vec::new(),
+            unsent_paces: Vec::new(),
             lasting_cursor: None,
             pace_changes: Vec::new(),
             demand: PromptDemand::default(),
@@ -88,7 +88,7 @@
     /// Takes what a configuration tells of the pools.
     pub fn on_config(&mut self, config: &ForwardingConfig) {
         let paid = config.pools.iter().filter(|pool| pool.scaling.is_some());
-        self.working_set.paid = paid.map(|pool| pool.id.clone()).collect();
+        self.working_set.billed_pools = paid.map(|pool| pool.id.clone()).collect();
         for pool in &config.pools {
             if let Some(model) = &pool.model {
                 self.traits.insert(pool.id.clone(), model.clone());
@@ -106,7 +106,7 @@
                 let tokens = traits.map_or(ASSUMED_CACHE_TOKENS, |traits| traits.cache_tokens);
                 let mut state = EngineState::new(engine, tokens);
                 state.backoff_end = self.signals.backoff_end(state.handle);
-                self.begin_pace(&mut state);
+                self.init_pace(&mut state);
                 self.engine_of.insert(state.handle, id.clone());
                 self.engines.insert(id.clone(), state);
             }
@@ -199,7 +199,7 @@
         };
         state.heard(now);
         state.told = Some((told, now));
-        self.on_figure(engine, &told, now);
+        self.on_reported_pace(engine, &told, now);
     }
 
     /// All engines known, by name.
--- a/crates/core/src/routing/pool/weights.rs
+++ b/crates/core/src/routing/pool/weights.rs
@@ -88,7 +88,7 @@
             decode_reading_harm: 0.8,
             pause_seconds: 0.0,
             output_time: 0.05,
-            engine_pace: EnginePaceUse::WhereTold,
+            engine_pace: EnginePaceUse::WhereReported,
             working_set: WorkingSetSettings::default(),
         }
     }
--- a/crates/core/src/routing/pool/working_set/groups.rs
+++ b/crates/core/src/routing/pool/working_set/groups.rs
@@ -60,7 +60,7 @@
     /// Engines of each pool that are listed and stay.
     listed: BTreeMap<PoolId, usize>,
     /// Pools whose engines are paid by the second.
-    pub(in crate::routing::pool) paid: BTreeSet<PoolId>,
+    pub(in crate::routing::pool) billed_pools: BTreeSet<PoolId>,
     pub(super) looked_at: Option<MonotonicTime>,
     pub(super) untold: Vec<WorkingSetChange>,
 }
@@ -68,7 +68,7 @@
 impl WorkingSet {
     pub(super) fn is_whole(&self, pool: &PoolId, settings: &WorkingSetSettings) -> bool {
         let listed = self.listed.get(pool).copied().unwrap_or_default();
-        listed <= settings.whole_up_to || self.paid.contains(pool)
+        listed <= settings.whole_up_to || self.billed_pools.contains(pool)
     }
 
     /// Lists an engine in its group, in use or not; the number of the group.
--- a/crates/core/src/routing/pool/working_set/growing.rs
+++ b/crates/core/src/routing/pool/working_set/growth.rs
@@ -18,7 +18,7 @@
 impl PoolRouter {
     /// Like [`Self::admit`]; a request is refused, served late or sent nowhere only if no engine of the reserve would
     /// stand idle meanwhile.
-    pub fn admit_growing(
+    pub fn admit_or_grow(
         &mut self,
         query: &PoolQuery<'_>,
         timing: Timing,
@@ -34,13 +34,13 @@
     }
 
     /// Like [`Self::choose`]; there is nowhere to go only where the reserve has nothing either.
-    pub fn choose_growing(&mut self, query: &PoolQuery<'_>, now: MonotonicTime) -> PoolRoute {
+    pub fn choose_or_grow(&mut self, query: &PoolQuery<'_>, now: MonotonicTime) -> PoolRoute {
         let is_well = |route: &PoolRoute| *route != PoolRoute::Nowhere;
         self.growing(query.pool, now, is_well, |router| router.choose(query, now))
     }
 
     /// Like [`Self::choose_output`]; absent only where the reserve has nothing either.
-    pub fn choose_output_growing(
+    pub fn choose_output_or_grow(
         &mut self,
         query: &PoolQuery<'_>,
         source: &EngineId,
@@ -59,7 +59,7 @@
         is_well: impl Fn(&Decision) -> bool,
         decide: impl Fn(&Self) -> Decision,
     ) -> Decision {
-        self.keep_working_set(now);
+        self.update_working_set(now);
         let mut decision = decide(self);
         for _ in 0..MOST_GROWTHS {
             if is_well(&decision) || !self.grow(pool, now) {
--- a/crates/core/src/routing/pool/working_set/members.rs
+++ b/crates/core/src/routing/pool/working_set/members.rs
@@ -17,7 +17,7 @@
     ///
     /// What the engine said of itself outranks how it is listed: an entry may be written late, or read from a node that is
     /// behind.
-    pub fn on_engine(&mut self, mut engine: PoolEngine) {
+    pub fn on_engine_listed(&mut self, mut engine: PoolEngine) {
         let start = engine.id.start();
         for state in self.starts_of(engine.id.as_str()) {
             state.replaced |= state.engine.id.start() < start;
@@ -55,7 +55,7 @@
     }
 
     /// The engine with a short name, which is in use from now on: another node has chosen it.
-    pub fn bring_in(&mut self, handle: SubjectHandle) -> Option<EngineId> {
+    pub fn bring_into_use(&mut self, handle: SubjectHandle) -> Option<EngineId> {
         if let Some(engine) = self.reserved(handle) {
             self.begin_use(handle, engine);
         }
@@ -63,7 +63,7 @@
     }
 
     /// Looks at the loads, if it is time to, and brings engines into use or takes them out of it.
-    pub fn keep_working_set(&mut self, now: MonotonicTime) {
+    pub fn update_working_set(&mut self, now: MonotonicTime) {
         let since = self.working_set.looked_at.map(|at| now.since(at));
         if since.is_some_and(|since| since < LOOK_EVERY) {
             return;
--- a/crates/core/src/routing/pool/working_set/mod.rs
+++ b/crates/core/src/routing/pool/working_set/mod.rs
@@ -15,14 +15,14 @@
 //!
 //! The digest is the same at every node, so nodes agree on the engines without a word, and where they differ one has a few
 //! more. One that leaves is replaced at once. Before a request is refused, or served late, while no engine of a stage
-//! that is in use stands idle, the reserve is drawn upon ([`PoolRouter::admit_growing`]).
+//! that is in use stands idle, the reserve is drawn upon ([`PoolRouter::admit_or_grow`]).
 //!
 //! An engine that is no longer wanted goes back into the reserve when it was not used for the hold time; what it was
 //! believed to hold is forgotten then. A pool of up to `whole_up_to` engines, and one whose engines are paid by the second,
 //! is in use as a whole.
 
 mod groups;
-mod growing;
+mod growth;
 mod load;
 mod members;
 
--- a/crates/core/tests/cordons.rs
+++ b/crates/core/tests/cordons.rs
@@ -128,7 +128,7 @@
 fn an_engine_that_is_listed_later_falls_under_a_cordon_that_stands() {
     let mut router = router();
     router.on_cordons(vec![in_force("engine/e5", NOW + MINUTE, true)]);
-    router.on_engine(engine_with("e5", EngineStage::Whole, 8));
+    router.on_engine_listed(engine_with("e5", EngineStage::Whole, 8));
     for draw in 0..200 {
         assert_ne!(chosen(&router, draw, NOW).as_deref(), Some("e5"));
     }
--- a/crates/core/tests/engine_pace.rs
+++ b/crates/core/tests/engine_pace.rs
@@ -7,9 +7,9 @@
 use pool_support::{engine_with, pool, router_with};
 use shelfjunction_core::identity::{EngineId, ZoneId};
 use shelfjunction_core::routing::pool::{
-    EnginePaceUse, EngineStage, FigurePersistence, LastingPace, LastingWord, OutputWay, PaceWords, PoolQuery,
-    PoolRoute, PoolRouter, PoolWeights, PrefixBlock, PromptPart, PromptShape, RequestTerms, ToldFigure,
-    ToldLoad,
+    EnginePaceUse, EngineStage, LastingPace, LastingPaceReport, OutputWay, PacePersistence, PaceReports,
+    PoolQuery, PoolRoute, PoolRouter, PoolWeights, PrefixBlock, PromptPart, PromptShape, ReportedPace,
+    RequestTerms, ToldLoad,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -104,7 +104,7 @@
 
 #[test]
 fn a_told_figure_counts_at_once_and_fades_to_the_usual_one() {
-    let mut router = router(EnginePaceUse::WhereTold);
+    let mut router = router(EnginePaceUse::WhereReported);
     let engine = EngineId::new("d1");
     router.on_told(&engine, told(Some(250)), NOW);
     let at_once = factor(&router, "d1", NOW);
@@ -115,13 +115,13 @@
     let state = router.engine(&engine).unwrap();
     let usual = state.pace().momentary_factor(NOW + Duration::from_secs(60));
     assert_eq!(too_old, usual);
-    assert_eq!(state.pace().figure_age(NOW + millis(300)), Some(millis(300)));
-    assert_eq!(state.pace().figure_age(NOW + millis(5_000)), None);
+    assert_eq!(state.pace().momentary_age(NOW + millis(300)), Some(millis(300)));
+    assert_eq!(state.pace().momentary_age(NOW + millis(5_000)), None);
 }
 
 #[test]
 fn an_engine_that_always_tells_a_high_figure_is_usually_so() {
-    let mut router = router(EnginePaceUse::WhereTold);
+    let mut router = router(EnginePaceUse::WhereReported);
     for second in 0..100 {
         let now = NOW + Duration::from_secs(second);
         router.on_told(&EngineId::new("d1"), told(Some(200)), now);
@@ -135,19 +135,19 @@
 #[test]
 fn nonsense_is_no_figure() {
     for percent in [0, 9, 5_001, u32::MAX] {
-        let mut router = router(EnginePaceUse::WhereTold);
+        let mut router = router(EnginePaceUse::WhereReported);
         router.on_told(&EngineId::new("d1"), told(Some(percent)), NOW);
         assert!(!router.engine(&EngineId::new("d1")).unwrap().pace().in_use());
         assert_eq!(factor(&router, "d1", NOW), 1.0);
-        let words = PaceWords {
-            figures: vec![ToldFigure {
+        let words = PaceReports {
+            figures: vec![ReportedPace {
                 engine: router.handle_of(&EngineId::new("d1")),
                 percent: u16::try_from(percent).unwrap_or(u16::MAX),
                 age_millis: 0,
             }],
             lasting: Vec::new(),
         };
-        router.on_pace_words(&words, NOW);
+        router.on_pace_reports(&words, NOW);
         router.on_told(&EngineId::new("d2"), told(Some(100)), NOW);
         assert_eq!(factor(&router, "d1", NOW), 1.0);
     }
@@ -155,7 +155,7 @@
 
 #[test]
 fn engines_that_tell_three_figures_are_judged_as_before() {
-    let mut untold = router(EnginePaceUse::WhereTold);
+    let mut untold = router(EnginePaceUse::WhereReported);
     let mut off = router(EnginePaceUse::Off);
     for router in [&mut untold, &mut off] {
         for second in 0..30 {
@@ -170,13 +170,13 @@
         assert_eq!(factor(&untold, engine, now), factor(&off, engine, now));
     }
     assert_eq!(untold.speeds(&pool()), off.speeds(&pool()));
-    assert_eq!(untold.take_pace_words(8, 8, now), PaceWords::default());
+    assert_eq!(untold.take_pace_reports(8, 8, now), PaceReports::default());
     assert_eq!(untold.pace_spread(now), None);
 }
 
 #[test]
 fn a_quicker_engine_is_known_as_such_and_does_not_speed_up_its_pool() {
-    let mut router = router(EnginePaceUse::WhereTold);
+    let mut router = router(EnginePaceUse::WhereReported);
     for round in 0..200 {
         let now = NOW + millis(1_000 * round);
         router.on_told(&EngineId::new("d1"), told(Some(100)), now);
@@ -194,7 +194,7 @@
 
 #[test]
 fn what_a_machine_takes_for_a_moment_does_not_count_as_lasting() {
-    let mut router = router(EnginePaceUse::WhereTold);
+    let mut router = router(EnginePaceUse::WhereReported);
     for round in 0..200 {
         let now = NOW + millis(2_000 * round);
         // Machines are slow by turns, and tell so; both engines are alike.
@@ -251,7 +251,7 @@
 
 #[test]
 fn a_new_placer_takes_over_lasting_speeds_and_momentary_figures() {
-    let mut old = router(EnginePaceUse::WhereTold);
+    let mut old = router(EnginePaceUse::WhereReported);
     for round in 0..60 {
         let now = NOW + millis(1_000 * round);
         old.on_told(&EngineId::new("d1"), told(Some(100)), now);
@@ -259,15 +259,15 @@
         run(&mut old, "d2", millis(900), now);
     }
     let now = NOW + Duration::from_secs(70);
-    let mut new = router(EnginePaceUse::WhereTold);
+    let mut new = router(EnginePaceUse::WhereReported);
     new.on_told(&EngineId::new("p1"), told(Some(100)), now);
     // One engine at a time; the first word is lost.
     let told_engines: Vec<_> = (0..4)
-        .map(|_| old.take_pace_words(8, 1, now))
+        .map(|_| old.take_pace_reports(8, 1, now))
         .inspect(|words| assert!(words.lasting.len() <= 1))
         .collect();
     for words in &told_engines[1..] {
-        new.on_pace_words(words, now);
+        new.on_pace_reports(words, now);
     }
     let ratio = factor(&new, "d2", now) / factor(&new, "d1", now);
     let known = factor(&old, "d2", now) / factor(&old, "d1", now);
@@ -275,42 +275,42 @@
     // A figure that surprises is told once, with its age, and one that doesn't is not.
     old.on_told(&EngineId::new("d1"), told(Some(250)), now);
     old.on_told(&EngineId::new("d2"), told(Some(100)), now);
-    let words = old.take_pace_words(8, 0, now + millis(50));
+    let words = old.take_pace_reports(8, 0, now + millis(50));
     let handle = old.handle_of(&EngineId::new("d1"));
     assert_eq!(
         words.figures,
-        vec![ToldFigure {
+        vec![ReportedPace {
             engine: handle,
             percent: 250,
             age_millis: 50
         }]
     );
-    assert!(old.take_pace_words(8, 0, now).figures.is_empty());
+    assert!(old.take_pace_reports(8, 0, now).figures.is_empty());
     let before = factor(&new, "d1", now + millis(60));
-    new.on_pace_words(&words, now + millis(60));
+    new.on_pace_reports(&words, now + millis(60));
     assert!(factor(&new, "d1", now + millis(60)) > 1.8 * before);
     // An older word does not undo a newer one.
-    let older = PaceWords {
-        figures: vec![ToldFigure {
+    let older = PaceReports {
+        figures: vec![ReportedPace {
             engine: handle,
             percent: 100,
             age_millis: 500,
         }],
-        lasting: vec![LastingWord {
+        lasting: vec![LastingPaceReport {
             engine: handle,
             thousandths: 0,
             weight: 0,
         }],
     };
     let known = factor(&new, "d1", now + millis(60));
-    new.on_pace_words(&older, now + millis(60));
+    new.on_pace_reports(&older, now + millis(60));
     assert_eq!(factor(&new, "d1", now + millis(60)), known);
 }
 
 #[test]
 fn of_two_idle_engines_the_quicker_one_runs_the_output() {
     let choice = |percents: [u32; 2]| {
-        let mut router = router(EnginePaceUse::WhereTold);
+        let mut router = router(EnginePaceUse::WhereReported);
         for round in 0..40 {
             let now = NOW + millis(1_000 * round);
             router.on_told(&EngineId::new("d1"), told(Some(100)), now);
@@ -334,7 +334,7 @@
 #[test]
 fn the_persistence_is_learned_from_how_soon_figures_change() {
     for (millis_between, holds) in [(100, 0.1), (600, 0.6), (3_000, 3.0)] {
-        let mut persistence = FigurePersistence::default();
+        let mut persistence = PacePersistence::default();
         for round in 0..400_u64 {
             // The second figure still holds with the probability that the persistence gives.
             let gap = Duration::from_millis(millis_between * (1 + round % 3) / 2);
--- a/crates/core/tests/engine_pace_fleet.rs
+++ b/crates/core/tests/engine_pace_fleet.rs
@@ -24,7 +24,7 @@
         seconds: 30,
         lost: 0.0,
         nonsense: None,
-        pace_use: EnginePaceUse::WhereTold,
+        pace_use: EnginePaceUse::WhereReported,
         output_time: PoolWeights::default().output_time,
         seed: 27,
     }
@@ -44,7 +44,7 @@
     println!("{world:?}");
     (
         with(EnginePaceUse::Off, world),
-        with(EnginePaceUse::WhereTold, world),
+        with(EnginePaceUse::WhereReported, world),
     )
 }
 
@@ -82,19 +82,19 @@
             seconds: 10,
             ..world(8)
         };
-        let result = with(EnginePaceUse::WhereTold, &world);
+        let result = with(EnginePaceUse::WhereReported, &world);
         assert!(result.pace_bytes < 1_500.0);
     }
 }
 
 #[test]
 fn lost_words_cost_little() {
-    let whole = with(EnginePaceUse::WhereTold, &world(8));
+    let whole = with(EnginePaceUse::WhereReported, &world(8));
     let lossy = World {
         lost: 0.3,
         ..world(8)
     };
-    let lost = with(EnginePaceUse::WhereTold, &lossy);
+    let lost = with(EnginePaceUse::WhereReported, &lossy);
     assert!(lost.share() > whole.share() - 0.02);
 }
 
--- a/crates/core/tests/engine_signals.rs
+++ b/crates/core/tests/engine_signals.rs
@@ -55,8 +55,8 @@
 
 fn apply(router: &mut PoolRouter, source: Source, engine: &PoolEngine, now: MonotonicTime) {
     match source {
-        Source::ListedReady => router.on_engine(engine.clone()),
-        Source::ListedLeaving => router.on_engine(PoolEngine {
+        Source::ListedReady => router.on_engine_listed(engine.clone()),
+        Source::ListedLeaving => router.on_engine_listed(PoolEngine {
             leaving: true,
             ..engine.clone()
         }),
@@ -66,7 +66,7 @@
             router.on_entry_unreadable(&EngineId::new(engine.id.as_str()), now);
         }
         Source::NamedByAnotherNode => {
-            router.bring_in(handle(engine));
+            router.bring_into_use(handle(engine));
         }
     }
 }
@@ -92,7 +92,7 @@
         for (source, pause) in after {
             now = now + Duration::from_millis(pause);
             apply(&mut router, source, &drains, now);
-            router.keep_working_set(now);
+            router.update_working_set(now);
             prop_assert_eq!(router.taking_work(now), 0);
             prop_assert_eq!(router.reserve().count(), 0);
             prop_assert_eq!(router.not_accepting(&drains.id, now), Some(NotAccepting::Draining));
@@ -105,7 +105,7 @@
     let (first, second) = (engine("engine", 1), engine("engine", 2));
     let mut router = router(std::slice::from_ref(&first));
     router.on_draining(handle(&first));
-    router.on_engine(second.clone());
+    router.on_engine_listed(second.clone());
     assert_eq!(router.taking_work(NOW), 1);
     assert_eq!(router.not_accepting(&second.id, NOW), None);
     assert_eq!(router.not_accepting(&first.id, NOW), Some(NotAccepting::Draining));
@@ -193,7 +193,7 @@
     router.on_backoff_asked(&only.id, BACKOFF, NOW);
     router.on_backoff_asked(&only.id, BACKOFF / 10, NOW);
     router.on_told(&only.id, ToldLoad::default(), NOW);
-    router.on_engine(only.clone());
+    router.on_engine_listed(only.clone());
     let before_end = NOW + BACKOFF - Duration::from_millis(1);
     assert_eq!(part_to(&router, "only", true, before_end), 0);
     assert_eq!(part_to(&router, "only", true, NOW + BACKOFF), 100, "the only one");
@@ -208,7 +208,7 @@
     let later = NOW + Duration::from_secs(10);
     router.on_engine_gone(&EngineId::new("another"), false, later);
     assert!(router.engine(&only.id).is_none(), "forgotten");
-    router.on_engine(only.clone());
+    router.on_engine_listed(only.clone());
     assert_eq!(part_to(&router, "only", true, later), 0);
 }
 
--- a/crates/core/tests/engine_starts.rs
+++ b/crates/core/tests/engine_starts.rs
@@ -83,7 +83,7 @@
     fn hear(&mut self, version: u64, change: ListChange, doubtful: bool, now: MonotonicTime) {
         for change in self.listing.apply(vec![(version, change)], version) {
             match change {
-                ListChange::Listed(engine) => self.router.on_engine(engine),
+                ListChange::Listed(engine) => self.router.on_engine_listed(engine),
                 ListChange::Gone(engine) => self.router.on_engine_gone(&engine, doubtful, now),
                 ListChange::Unreadable(entry) => {
                     self.router.on_entry_unreadable(&entry, now);
--- a/crates/core/tests/engine_troubles.rs
+++ b/crates/core/tests/engine_troubles.rs
@@ -275,7 +275,7 @@
             answer(&mut router, engine.id.as_str(), NOW);
         }
         for id in ["s1", "s2", "s4", "s5"] {
-            router.on_engine(PoolEngine {
+            router.on_engine_listed(PoolEngine {
                 leaving: true,
                 ..spot(id)
             });
--- a/crates/core/tests/engines_in_use.rs
+++ b/crates/core/tests/engines_in_use.rs
@@ -32,7 +32,7 @@
 
 /// Of a node that knows every change that ever was.
 fn all_known() -> KnownChanges {
-    KnownChanges::none_before(0)
+    KnownChanges::complete_since(0)
 }
 
 fn names(listing: &EngineListing) -> Vec<String> {
@@ -51,7 +51,7 @@
 fn a_node_that_began_with_the_whole_list_takes_newer_engines_in_use() {
     let mut listing = EngineListing::default();
     listing.replace(&snapshot(10, vec![engine("a"), engine("b")]));
-    let taken = listing.replace_in_use(&snapshot(20, vec![leaving("a")]), &all_known());
+    let taken = listing.apply_in_use_snapshot(&snapshot(20, vec![leaving("a")]), &all_known());
     assert_eq!(taken, [gone("b"), ListChange::Listed(leaving("a"))]);
     assert!(listing.is_partial());
 }
@@ -61,7 +61,7 @@
     let mut listing = EngineListing::default();
     listing.replace(&snapshot(10, vec![engine("a")]));
     assert_eq!(
-        listing.replace_in_use(&snapshot(10, vec![engine("b")]), &all_known()),
+        listing.apply_in_use_snapshot(&snapshot(10, vec![engine("b")]), &all_known()),
         []
     );
     assert!(!listing.is_partial());
@@ -70,8 +70,8 @@
 #[test]
 fn an_older_word_of_another_placer_adds_what_was_never_named_and_changes_nothing_else() {
     let mut listing = EngineListing::default();
-    listing.replace_in_use(&snapshot(20, vec![leaving("a")]), &all_known());
-    let taken = listing.replace_in_use(&snapshot(15, vec![engine("a"), engine("b")]), &all_known());
+    listing.apply_in_use_snapshot(&snapshot(20, vec![leaving("a")]), &all_known());
+    let taken = listing.apply_in_use_snapshot(&snapshot(15, vec![engine("a"), engine("b")]), &all_known());
     assert_eq!(taken, [ListChange::Listed(engine("b"))]);
     assert_eq!(names(&listing), ["a", "b"]);
 }
@@ -79,19 +79,19 @@
 #[test]
 fn an_engine_that_one_placer_has_no_longer_in_use_can_be_named_by_another() {
     let mut listing = EngineListing::default();
-    listing.replace_in_use(&snapshot(20, vec![engine("a"), engine("b")]), &all_known());
+    listing.apply_in_use_snapshot(&snapshot(20, vec![engine("a"), engine("b")]), &all_known());
     assert_eq!(
-        listing.replace_in_use(&snapshot(30, vec![engine("a")]), &all_known()),
+        listing.apply_in_use_snapshot(&snapshot(30, vec![engine("a")]), &all_known()),
         [gone("b")]
     );
-    let taken = listing.replace_in_use(&snapshot(25, vec![engine("b")]), &all_known());
+    let taken = listing.apply_in_use_snapshot(&snapshot(25, vec![engine("b")]), &all_known());
     assert_eq!(taken, [ListChange::Listed(engine("b"))]);
 }
 
 #[test]
 fn news_of_the_whole_list_add_no_engine_that_nobody_uses() {
     let mut listing = EngineListing::default();
-    listing.replace_in_use(&snapshot(20, vec![engine("a")]), &all_known());
+    listing.apply_in_use_snapshot(&snapshot(20, vec![engine("a")]), &all_known());
     let news = ListNews {
         base: 20,
         changes: vec![
@@ -100,13 +100,13 @@
         ],
     };
     assert_eq!(news.apply_to(&mut listing), [ListChange::Listed(leaving("a"))]);
-    assert_eq!(listing.reflected(), 22);
+    assert_eq!(listing.reflected_version(), 22);
 }
 
 #[test]
 fn the_whole_list_makes_a_node_know_all_again() {
     let mut listing = EngineListing::default();
-    listing.replace_in_use(&snapshot(20, vec![engine("a")]), &all_known());
+    listing.apply_in_use_snapshot(&snapshot(20, vec![engine("a")]), &all_known());
     listing.replace(&snapshot(20, vec![engine("a"), engine("b")]));
     assert!(!listing.is_partial());
     assert_eq!(names(&listing), ["a", "b"]);
@@ -124,36 +124,36 @@
 #[test]
 fn an_engine_that_left_is_not_revived_by_the_list_of_a_placer_that_was_cut_off() {
     let mut listing = EngineListing::default();
-    listing.replace_in_use(&snapshot(20, vec![engine("a"), engine("b")]), &all_known());
+    listing.apply_in_use_snapshot(&snapshot(20, vec![engine("a"), engine("b")]), &all_known());
     let news = ListNews {
         base: 20,
         changes: vec![(21, gone("b"))],
     };
     news.apply_to(&mut listing);
     let older = snapshot(20, vec![engine("a"), engine("b")]);
-    assert_eq!(listing.replace_in_use(&older, &all_known()), []);
+    assert_eq!(listing.apply_in_use_snapshot(&older, &all_known()), []);
 }
 
 #[test]
 fn an_engine_that_a_newer_list_no_longer_names_is_not_revived_where_it_has_changed_since() {
     let mut listing = EngineListing::default();
-    listing.replace_in_use(&snapshot(20, vec![engine("a"), engine("b")]), &all_known());
+    listing.apply_in_use_snapshot(&snapshot(20, vec![engine("a"), engine("b")]), &all_known());
     let mut changes = all_known();
     changes.note("b", 25);
-    listing.replace_in_use(&snapshot(30, vec![engine("a")]), &changes);
+    listing.apply_in_use_snapshot(&snapshot(30, vec![engine("a")]), &changes);
     let older = snapshot(20, vec![engine("a"), engine("b")]);
-    assert_eq!(listing.replace_in_use(&older, &all_known()), []);
+    assert_eq!(listing.apply_in_use_snapshot(&older, &all_known()), []);
 }
 
 #[test]
 fn a_list_from_before_all_that_is_known_of_changes_revives_nothing() {
     let mut listing = EngineListing::default();
-    let since_its_start = KnownChanges::none_before(30);
-    listing.replace_in_use(&snapshot(30, vec![engine("a")]), &since_its_start);
+    let since_its_start = KnownChanges::complete_since(30);
+    listing.apply_in_use_snapshot(&snapshot(30, vec![engine("a")]), &since_its_start);
     let older = snapshot(20, vec![engine("b")]);
-    assert_eq!(listing.replace_in_use(&older, &all_known()), []);
+    assert_eq!(listing.apply_in_use_snapshot(&older, &all_known()), []);
     let as_new = snapshot(30, vec![engine("b")]);
-    listing.replace_in_use(&as_new, &since_its_start);
+    listing.apply_in_use_snapshot(&as_new, &since_its_start);
     assert_eq!(names(&listing), ["b"]);
 }
 
@@ -251,8 +251,8 @@
     }
 
     fn follow(&mut self, store: &Store) {
-        let after = self.listing.reflected();
-        let base = self.listing.changed();
+        let after = self.listing.reflected_version();
+        let base = self.listing.last_change_version();
         let changes: Vec<_> = store
             .writes
             .iter()
@@ -294,7 +294,7 @@
                 Step::TakeInUse(placer, used) => {
                     let placer = &placers[placer];
                     let changes = placer.listing.known_changes(remembered);
-                    node.replace_in_use(&placer.in_use(used), &changes);
+                    node.apply_in_use_snapshot(&placer.in_use(used), &changes);
                 }
                 Step::TakeNews(placer) => {
                     if let Some(news) = placers[placer].news.clone() {
@@ -305,16 +305,16 @@
                     node.replace(&placers[placer].listing.snapshot());
                 }
             }
-            let truth = store.at(node.reflected());
+            let truth = store.at(node.reflected_version());
             for listed in node.snapshot().engines {
                 prop_assert!(
                     truth.engines.contains(&listed),
                     "{:?} at version {}",
                     listed,
-                    node.reflected()
+                    node.reflected_version()
                 );
             }
-            if !node.is_partial() && node.reflected() > 0 {
+            if !node.is_partial() && node.reflected_version() > 0 {
                 prop_assert_eq!(node.snapshot().engines, truth.engines);
             }
         }
--- a/crates/core/tests/forwarding.rs
+++ b/crates/core/tests/forwarding.rs
@@ -205,7 +205,10 @@
     };
     assert!(listing.replace(&stale_read).is_empty());
     assert!(listing.lists(&EngineId::new("one")) && !listing.lists(&EngineId::new("two")));
-    assert_eq!((listing.changed(), listing.reflected()), (13, 13));
+    assert_eq!(
+        (listing.last_change_version(), listing.reflected_version()),
+        (13, 13)
+    );
 }
 
 fn views(prefill: usize, decode: usize, requests: f64) -> Vec<PoolEngineView> {
--- a/crates/core/tests/list_news.rs
+++ b/crates/core/tests/list_news.rs
@@ -52,7 +52,7 @@
     let mut other = listing(11);
     let taken = recent.told(6, at(50)).apply_to(&mut other);
     assert_eq!(taken.len(), 2);
-    assert_eq!(other.reflected(), 13);
+    assert_eq!(other.reflected_version(), 13);
     assert!(recent.told(6, at(60)).apply_to(&mut other).is_empty(), "once");
 }
 
@@ -62,7 +62,7 @@
     recent.note(&listing(10), 10, &[(12, listed("a", true))], at(0));
     let mut other = listing(9);
     assert!(recent.told(6, at(50)).apply_to(&mut other).is_empty());
-    assert_eq!(other.reflected(), 9, "it must ask for what it lacks");
+    assert_eq!(other.reflected_version(), 9, "it must ask for what it lacks");
 }
 
 #[test]
@@ -105,7 +105,7 @@
     let mut other = listing(10);
     let taken = recent.told(6, at(50)).apply_to(&mut other);
     assert_eq!(taken.len(), 1, "nothing changed between 10 and 5,000");
-    assert_eq!(other.reflected(), 5_002);
+    assert_eq!(other.reflected_version(), 5_002);
 }
 
 #[test]
--- a/crates/core/tests/pace_world/mod.rs
+++ b/crates/core/tests/pace_world/mod.rs
@@ -116,7 +116,7 @@
         shelfjunction_core::membership::subject::SubjectHandle,
         shelfjunction_core::routing::pool::PeerWork,
     )>,
-    shelfjunction_core::routing::pool::PaceWords,
+    shelfjunction_core::routing::pool::PaceReports,
 );
 
 struct Play<'w> {
@@ -217,7 +217,7 @@
                 let (work, paces) = work;
                 let node = NodeId::new(format!("n{from}"));
                 self.routers[to].on_peer_work(&node, WorkSlice::ALL, &work, now);
-                self.routers[to].on_pace_words(&paces, now);
+                self.routers[to].on_pace_reports(&paces, now);
             }
         }
     }
@@ -309,7 +309,7 @@
         self.later(now + Duration::from_millis(WORD_EVERY), Happening::Words);
         for from in 0..self.routers.len() {
             let work = self.routers[from].own_work();
-            let paces = self.routers[from].take_pace_words(8, 2, now);
+            let paces = self.routers[from].take_pace_reports(8, 2, now);
             self.pace_bytes += 15 * paces.figures.len() + 13 * paces.lasting.len() + 2;
             for to in (0..self.routers.len()).filter(|to| *to != from) {
                 if self.rng.part() >= self.world.lost {
--- a/crates/core/tests/pool_router.rs
+++ b/crates/core/tests/pool_router.rs
@@ -222,8 +222,8 @@
     ));
     let later = NOW + Duration::from_secs(2);
     assert_eq!(router.choose(&asked.query(), later), PoolRoute::Nowhere);
-    router.on_engine(engine("p1", EngineStage::Prefill));
-    router.on_engine(engine("d1", EngineStage::Decode));
+    router.on_engine_listed(engine("p1", EngineStage::Prefill));
+    router.on_engine_listed(engine("d1", EngineStage::Decode));
     assert!(matches!(
         router.choose(&asked.query(), later),
         PoolRoute::Split { .. }
@@ -499,10 +499,10 @@
         .collect();
     let mut router = router_with(PoolWeights::default(), 8, None, &listed);
     assert!(!router.note_reclaims(NOW));
-    router.on_engine(spot("a0", "zone-a", true));
+    router.on_engine_listed(spot("a0", "zone-a", true));
     assert!(!router.note_reclaims(NOW), "one may be replaced");
-    router.on_engine(spot("a1", "zone-a", true));
-    router.on_engine(spot("a2", "zone-a", true));
+    router.on_engine_listed(spot("a1", "zone-a", true));
+    router.on_engine_listed(spot("a2", "zone-a", true));
     assert!(router.note_reclaims(NOW));
     assert_eq!(router.taking_work(NOW), 1, "the one of the other zone");
     let later = NOW + Duration::from_secs(4);
--- a/crates/core/tests/pool_support/mod.rs
+++ b/crates/core/tests/pool_support/mod.rs
@@ -57,6 +57,6 @@
     engines
         .iter()
         .cloned()
-        .for_each(|engine| router.on_engine(engine));
+        .for_each(|engine| router.on_engine_listed(engine));
     router
 }
--- a/crates/core/tests/rate_limit_choice.rs
+++ b/crates/core/tests/rate_limit_choice.rs
@@ -108,7 +108,7 @@
         id: EngineId::started("a", EngineStart(7)),
         ..engine_with("a", EngineStage::Whole, 8)
     };
-    router.on_engine(started_again);
+    router.on_engine_listed(started_again);
     assert_eq!(router.limited().count(), 0);
 }
 
--- a/crates/core/tests/working_set.rs
+++ b/crates/core/tests/working_set.rs
@@ -113,7 +113,7 @@
     let mut tickets = Vec::new();
     for number in 0..requests {
         let asked = Asked::new(number, 4_000);
-        let decision = router.admit_growing(&asked.query(), TIMING, &PoolAdmission::default(), now);
+        let decision = router.admit_or_grow(&asked.query(), TIMING, &PoolAdmission::default(), now);
         in_time += usize::from(decision.admission == Admission::InTime);
         let query = asked.query();
         tickets.extend(match decision.route {
@@ -157,7 +157,7 @@
         .into_iter()
         .filter(|engine| engine.stage == EngineStage::Prefill);
     let (leaving, gone) = (prefill.next().unwrap(), prefill.next().unwrap());
-    router.on_engine(PoolEngine {
+    router.on_engine_listed(PoolEngine {
         leaving: true,
         ..leaving
     });
@@ -210,10 +210,10 @@
         .iter()
         .for_each(|ticket| router.on_prompt_read(ticket, &[], at(1_500)));
     let grown = in_use(&router, EngineStage::Prefill);
-    router.keep_working_set(at(11_000));
+    router.update_working_set(at(11_000));
     assert_eq!(in_use(&router, EngineStage::Prefill), grown, "ten seconds later");
     for second in 12..400 {
-        router.keep_working_set(at(second * 1_000));
+        router.update_working_set(at(second * 1_000));
     }
     assert_eq!(in_use(&router, EngineStage::Prefill), first, "minutes later");
 }
@@ -244,7 +244,7 @@
     let mut router = fleet(3_000);
     let reserved = router.reserve().next().unwrap().id.clone();
     router.on_entry_unreadable(&reserved, at(10));
-    assert_eq!(router.bring_in(SubjectHandle::of_engine(&reserved)), None);
+    assert_eq!(router.bring_into_use(SubjectHandle::of_engine(&reserved)), None);
     assert_eq!(router.reserve().filter(|engine| engine.id == reserved).count(), 0);
 }
 
@@ -252,7 +252,7 @@
 fn names_that_nobody_listed_are_not_brought_in() {
     let mut router = fleet(300);
     assert_eq!(
-        router.bring_in(SubjectHandle::of_engine(&EngineId::new("nobody"))),
+        router.bring_into_use(SubjectHandle::of_engine(&EngineId::new("nobody"))),
         None
     );
 }
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -84,7 +84,7 @@
     let mut router = traffic::router(PoolWeights::default());
     for change in changes {
         if let ListChange::Listed(engine) = change {
-            router.on_engine(engine);
+            router.on_engine_listed(engine);
         }
     }
     let served = serve(&mut router);
--- a/crates/lab/src/fleet/traffic.rs
+++ b/crates/lab/src/fleet/traffic.rs
@@ -115,7 +115,7 @@
             returned: false,
         };
         let begun = Instant::now();
-        let decision = router.admit_growing(&query, timing, &PoolAdmission::default(), now);
+        let decision = router.admit_or_grow(&query, timing, &PoolAdmission::default(), now);
         took += begun.elapsed();
         looked_at += router.engines().count();
         served.requests += 1;
--- a/crates/node/src/commanding/ordering.rs
+++ b/crates/node/src/commanding/ordering.rs
@@ -84,7 +84,7 @@
     /// Keeps the highest loads of late.
     fn observe(&mut self, context: &Context, now: MonotonicTime) {
         let mut router = lock(&context.router);
-        router.keep_working_set(now);
+        router.update_working_set(now);
         for pool in router.model_pools() {
             let (engines, demand) = router.role_input(&pool, now);
             let expected = lock(&context.expected_loads).get(&pool).copied();
--- a/crates/node/src/context.rs
+++ b/crates/node/src/context.rs
@@ -356,7 +356,7 @@
         if engine.leaving {
             self.links.forget(&engine.id);
         }
-        lock(&self.router).on_engine(engine.clone());
+        lock(&self.router).on_engine_listed(engine.clone());
         let in_use = self.is_in_use(&engine.id);
         if in_use {
             log::info!(
--- a/crates/node/src/course/admitting.rs
+++ b/crates/node/src/course/admitting.rs
@@ -46,7 +46,7 @@
             return self.follow(verdict.admission, &answer, at);
         }
         let settings = &self.context.config.admission;
-        let decision = lock(&self.context.router).admit_growing(&self.query(&[], now), timing, settings, now);
+        let decision = lock(&self.context.router).admit_or_grow(&self.query(&[], now), timing, settings, now);
         self.beyond_share = f64::from(decision.standing.shortened);
         self.log_admission(Judged::by(&decision), timing);
         if !decision.expected.is_zero() {
@@ -83,7 +83,7 @@
             // The placer did not know what this node knows of the engine, and chooses again without it.
             return self.choose_anew(&[], now);
         }
-        let route = lock(&self.context.router).choose_growing(&self.query(&[], now), now);
+        let route = lock(&self.context.router).choose_or_grow(&self.query(&[], now), now);
         self.placed(routing::placement(route));
     }
 
--- a/crates/node/src/course/placing.rs
+++ b/crates/node/src/course/placing.rs
@@ -32,7 +32,7 @@
         if placement.is_some() {
             return self.placed(placement);
         }
-        let route = lock(&self.context.router).choose_growing(&self.query(excluded, now), now);
+        let route = lock(&self.context.router).choose_or_grow(&self.query(excluded, now), now);
         self.placed(routing::placement(route));
     }
 
@@ -56,7 +56,7 @@
         }
         let now = self.context.now();
         let query = self.query(excluded, now);
-        let engine = lock(&self.context.router).choose_output_growing(&query, source, now);
+        let engine = lock(&self.context.router).choose_output_or_grow(&query, source, now);
         self.placed(engine.map(|engine| Placement::Whole(routing::target(&engine))));
     }
 
@@ -177,7 +177,7 @@
 
     fn listed(&self, engine: SubjectHandle) -> Option<PoolEngine> {
         let mut router = lock(&self.context.router);
-        let engine = router.bring_in(engine)?;
+        let engine = router.bring_into_use(engine)?;
         let state = router.engine(&engine).filter(|state| state.stays());
         state.map(|state| state.engine.clone())
     }
--- a/crates/node/src/pace_metrics.rs
+++ b/crates/node/src/pace_metrics.rs
@@ -8,10 +8,10 @@
 /// Gauges of how far the paces of engines lie apart; zero where they don't decide.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PaceMetrics {
-    lasting_least: Gauge<f64, AtomicU64>,
-    lasting_most: Gauge<f64, AtomicU64>,
-    momentary_most: Gauge<f64, AtomicU64>,
-    known_now: Gauge,
+    min_lasting: Gauge<f64, AtomicU64>,
+    max_lasting: Gauge<f64, AtomicU64>,
+    max_momentary: Gauge<f64, AtomicU64>,
+    engines_with_current_pace: Gauge,
     persistence_seconds: Gauge<f64, AtomicU64>,
 }
 
@@ -21,17 +21,17 @@
             (
                 "engine_lasting_factor_least",
                 "Least lasting factor by which work takes longer at an engine than is usual",
-                &self.lasting_least,
+                &self.min_lasting,
             ),
             (
                 "engine_lasting_factor_most",
                 "Greatest lasting factor by which work takes longer at an engine than is usual",
-                &self.lasting_most,
+                &self.max_lasting,
             ),
             (
                 "engine_momentary_factor_most",
                 "Greatest factor by which work takes longer at an engine at this moment",
-                &self.momentary_most,
+                &self.max_momentary,
             ),
             (
                 "engine_figure_persistence_seconds",
@@ -45,15 +45,16 @@
         registry.register(
             "engine_figures_known",
             "Engines whose momentary figure is known",
-            self.known_now.clone(),
+            self.engines_with_current_pace.clone(),
         );
     }
 
     pub(crate) fn note(&self, spread: &PaceSpread) {
-        self.lasting_least.set(spread.lasting_least);
-        self.lasting_most.set(spread.lasting_most);
-        self.momentary_most.set(spread.momentary_most);
-        self.known_now.set(spread.known_now as i64);
+        self.min_lasting.set(spread.min_lasting);
+        self.max_lasting.set(spread.max_lasting);
+        self.max_momentary.set(spread.max_momentary);
+        self.engines_with_current_pace
+            .set(spread.engines_with_current_pace as i64);
         self.persistence_seconds.set(spread.persistence_seconds);
     }
 }
--- a/crates/node/src/peers/catching_up.rs
+++ b/crates/node/src/peers/catching_up.rs
@@ -68,7 +68,7 @@
 
 fn lacks(context: &Context, behind: &Behind) -> Wanted {
     let config_version = context.forwarding().map_or(0, |config| config.version);
-    let reflected = lock(&context.listing).reflected();
+    let reflected = lock(&context.listing).reflected_version();
     let cordons = cordons::version(context);
     Wanted {
         config: config_version < behind.config_version,
@@ -140,8 +140,8 @@
 ) {
     context.update_list(source, |listing| {
         let changes = if is_partial {
-            let known = known_changes.unwrap_or_else(|| KnownChanges::none_before(list.version));
-            listing.replace_in_use(list, &known)
+            let known = known_changes.unwrap_or_else(|| KnownChanges::complete_since(list.version));
+            listing.apply_in_use_snapshot(list, &known)
         } else {
             listing.replace(list)
         };
--- a/crates/node/src/peers/receiving.rs
+++ b/crates/node/src/peers/receiving.rs
@@ -108,7 +108,7 @@
     take_list_news(context, message.list_news, from);
     let config_version = context.forwarding().map_or(0, |config| config.version);
     context.config_watch.on_word(message.config, config_version, now);
-    let list_version = lock(&context.listing).reflected();
+    let list_version = lock(&context.listing).reflected_version();
     context.list_watch.on_word(message.list, list_version, now);
     let versions = Behind {
         peer: from,
@@ -121,7 +121,7 @@
     let mut router = lock(&context.router);
     router.on_peer_work(&message.node, message.slice, &message.work, now);
     router.on_peer_news(&message.news, now);
-    router.on_pace_words(&message.paces, now);
+    router.on_pace_reports(&message.paces, now);
     router.on_peer_demand(&message.node, message.prompt_tokens_per_second, now);
     router.on_ordered(&message.orders, now);
     router.on_peer_silences(&message.silences, in_large_fleet, now);
--- a/crates/node/src/peers/sending.rs
+++ b/crates/node/src/peers/sending.rs
@@ -9,7 +9,7 @@
 use crate::quarantine;
 use crate::rate_limits;
 use shelfjunction_core::membership::subject::SubjectHandle;
-use shelfjunction_core::routing::pool::{PaceWords, PeerWork, WorkSlice};
+use shelfjunction_core::routing::pool::{PaceReports, PeerWork, WorkSlice};
 use shelfjunction_core::time::MonotonicTime;
 use shelfjunction_protocol::node_words::{
     Datagram, MOST_CHANGES, MOST_CHANGES_ALONE, MOST_ENGINES, MOST_FIGURES, MOST_LASTING, MOST_NEWS,
@@ -209,7 +209,7 @@
     }
 
     /// What is told of engines' paces: figures in every message, lasting speeds seldom.
-    fn pace_words(&mut self, now: MonotonicTime) -> PaceWords {
+    fn pace_words(&mut self, now: MonotonicTime) -> PaceReports {
         let mut router = lock(&self.context.router);
         let is_due = self
             .lasting_told_at
@@ -218,7 +218,7 @@
         if is_due {
             self.lasting_told_at = Some(now);
         }
-        router.take_pace_words(MOST_FIGURES, most_lasting, now)
+        router.take_pace_reports(MOST_FIGURES, most_lasting, now)
     }
 
     /// Whether a slice has changed, or was last told a while ago.
@@ -284,7 +284,7 @@
     fn compose(&self, slice: WorkSlice, places: bool, now: MonotonicTime) -> WorkMessage {
         let context = self.context;
         let config_version = || context.forwarding().map_or(0, |config| config.version);
-        let list_version = || lock(&context.listing).changed();
+        let list_version = || lock(&context.listing).last_change_version();
         let most_changes = if slice.is_nothing() {
             MOST_CHANGES_ALONE
         } else {
@@ -314,7 +314,7 @@
             orders: router.orders_under_way(now),
             news: Vec::new(),
             silences: Vec::new(),
-            paces: PaceWords::default(),
+            paces: PaceReports::default(),
         }
     }
 
@@ -360,7 +360,7 @@
     message.work.is_empty()
         && message.news.is_empty()
         && message.silences.is_empty()
-        && message.paces.is_quiet()
+        && message.paces.is_deferrable()
         && message.orders.is_empty()
         && message.list_news.changes.is_empty()
 }
--- a/crates/protocol/src/node_words.rs
+++ b/crates/protocol/src/node_words.rs
@@ -14,7 +14,7 @@
 use shelfjunction_core::quarantine::word::{SuspectWord, TrialWord};
 use shelfjunction_core::retry::census::SharingWord;
 use shelfjunction_core::routing::pool::{
-    EngineStage, ListNews, PaceWords, PeerWork, PrefixNews, SilenceWord, WorkSlice,
+    EngineStage, ListNews, PaceReports, PeerWork, PrefixNews, SilenceWord, WorkSlice,
 };
 use shelfjunction_core::sharing::UseWord;
 use shelfjunction_core::watching::TableWord;
@@ -93,7 +93,7 @@
     /// Engines that fell silent towards nodes that the sender chooses for, since the last message.
     pub silences: Vec<SilenceWord>,
     /// Paces of engines.
-    pub paces: PaceWords,
+    pub paces: PaceReports,
 }
 
 /// Asks a placer whether an engine has answered anybody a moment ago.
@@ -163,7 +163,7 @@
                 self.encode()
             }
             Self::Work(message) if bytes.len() > MOST_BYTES && !message.paces.is_empty() => {
-                message.paces = PaceWords::default();
+                message.paces = PaceReports::default();
                 bincode::serde::encode_to_vec(&self, CODEC).ok()
             }
             _ => Some(bytes),
