--- a/crates/core/src/routing/pool/dispatches.rs
+++ b/crates/core/src/routing/pool/dispatches.rs
@@ -252,9 +252,9 @@
                 let fixed = speed.fixed_seconds();
                 speed.observe(work.tokens_until_prefilled * factor, took);
                 let kind = if work.kv_source.is_none() {
-                    ObservedWork::Prompt
+                    ObservedWork::Prefill
                 } else {
-                    ObservedWork::PromptBesideOutputs
+                    ObservedWork::PrefillDuringDecode
                 };
                 let seen = PaceObservation {
                     kind,
