--- a/crates/core/tests/engine_pace.rs
+++ b/crates/core/tests/engine_pace.rs
@@ -7,9 +7,9 @@
 use pool_support::{engine_with, pool, router_with};
 use shelfjunction_core::identity::{EngineId, ZoneId};
 use shelfjunction_core::routing::pool::{
-    EnginePaceUse, EngineStage, LastingPace, LastingPaceReport, KvCacheSource, PacePersistence, PaceReports,
-    PoolQuery, PoolRoute, PoolRouter, PoolWeights, PrefixBlock, PromptPart, PromptShape, ReportedPace,
-    RequestTerms, ReportedLoad,
+    EnginePaceUse, EngineStage, KvCacheSource, LastingPace, LastingPaceReport, PacePersistence, PaceReports,
+    PoolQuery, PoolRoute, PoolRouter, PoolWeights, PrefixBlock, PromptPart, PromptShape, ReportedLoad,
+    ReportedPace, RequestTerms,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
