--- a/crates/core/src/engine_signals/mod.rs
+++ b/crates/core/src/engine_signals/mod.rs
@@ -1,4 +1,4 @@
-//! What engines say of themselves in the heads of their answers: that they drain, and for how long they want nothing more.
+//! Signals in the headers of engine responses: drain, backoff and rate limit.
 
 mod register;
 
@@ -7,33 +7,33 @@
 use crate::rate_limit::AnsweredLimit;
 use std::time::Duration;
 
-/// What the head of one answer says of its engine.
+/// Signals in the headers of one response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineSignals {
-    /// Its rate limit.
+    /// Rate limit of the engine.
     pub rate_limit: AnsweredLimit,
-    /// Whether it drains: it is about to end and takes no new work.
+    /// Whether the engine drains: it finishes its requests and accepts no new ones.
     pub draining: bool,
-    /// Whether it wants no requests from this node for a time.
+    /// Time for which the engine wants no requests from this node.
     pub backoff: AnsweredBackoff,
-    /// Name of a field that the adapter neither reads nor passes on knowingly: it may say something that nobody acts on.
+    /// Name of a header that the adapter does not recognize, so that an unsupported signal can be reported.
     pub unknown_field: Option<String>,
 }
 
-/// What a refusal says of the time for which its engine wants no requests from the node that it refused.
+/// Backoff that an engine requests from the node whose request it refused.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum AnsweredBackoff {
-    /// Nothing.
+    /// The response contains no backoff.
     #[default]
     Absent,
-    /// It wants none for so long.
+    /// Backoff of the given duration.
     For(Duration),
-    /// Field and value that are no time.
+    /// Header name and value that cannot be parsed as a duration.
     Unreadable(String),
 }
 
 impl EngineSignals {
-    /// Adds what a later head of the same connection says.
+    /// Merges the signals of a later response on the same connection.
     pub fn merge(&mut self, later: Self) {
         self.rate_limit = later.rate_limit;
         self.draining |= later.draining;
--- a/crates/core/src/engine_signals/register.rs
+++ b/crates/core/src/engine_signals/register.rs
@@ -1,34 +1,35 @@
-//! The engines that drain, and those that asked this node to back off.
+//! Register of engines that drain or have requested a backoff from this node.
 
 use crate::membership::subject::SubjectHandle;
 use crate::time::MonotonicTime;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Most draining engines that are remembered, the latest: twice the engines of the largest fleet, 16 bytes each.
-const MOST_DRAINING: usize = 20_000;
+/// Maximum number of draining engines in the register; the oldest entry is evicted first. Twice the size of the largest
+/// supported fleet.
+const MAX_DRAINING: usize = 20_000;
 
-/// Longest backoff that is believed; an engine that wants more says so again.
+/// Maximum duration of a backoff; longer requests are shortened, and an engine can renew its request.
 pub const MAX_BACKOFF: Duration = Duration::from_secs(60);
 
-/// What engines said of themselves, by start of the engine. Independent of the list of engines: an entry that is behind, or
-/// comes back, revokes nothing that the engine itself has said.
+/// Drain and backoff signals by start of the engine. The register is independent of the engine list, so that an outdated or
+/// restored list entry does not revoke a signal of the engine itself.
 #[derive(Clone, Debug, Default)]
 pub struct SignalRegister {
     draining: BTreeSet<SubjectHandle>,
-    /// Draining engines, the first one noted in front.
+    /// Draining engines in the order in which they were recorded.
     draining_order: VecDeque<SubjectHandle>,
     backoffs: BTreeMap<SubjectHandle, MonotonicTime>,
 }
 
 impl SignalRegister {
-    /// Notes that an engine drains, which no start of an engine takes back; whether that is new.
+    /// Records that an engine drains, and returns whether that is new. A drain is final for a start of an engine.
     pub fn note_draining(&mut self, engine: SubjectHandle) -> bool {
         if !self.draining.insert(engine) {
             return false;
         }
         self.draining_order.push_back(engine);
-        if self.draining_order.len() > MOST_DRAINING
+        if self.draining_order.len() > MAX_DRAINING
             && let Some(first) = self.draining_order.pop_front()
         {
             self.draining.remove(&first);
@@ -36,13 +37,12 @@
         true
     }
 
-    /// Whether an engine is known to drain.
+    /// Whether an engine has signaled that it drains.
     pub fn is_draining(&self, engine: SubjectHandle) -> bool {
         self.draining.contains(&engine)
     }
 
-    /// Notes that an engine wants no requests for a time; returns the end of its backoff. A shorter time takes nothing off
-    /// a longer one that it asked for before.
+    /// Records a backoff that an engine requested, and returns when it ends. A request never shortens an earlier one.
     pub fn note_backoff(
         &mut self,
         engine: SubjectHandle,
@@ -50,20 +50,21 @@
         now: MonotonicTime,
     ) -> MonotonicTime {
         self.backoffs.retain(|_, until| *until > now);
-        let asked = now + backoff.min(MAX_BACKOFF);
-        let until = self.backoffs.entry(engine).or_insert(asked);
-        *until = (*until).max(asked);
+        let requested_end = now + backoff.min(MAX_BACKOFF);
+        let until = self.backoffs.entry(engine).or_insert(requested_end);
+        *until = (*until).max(requested_end);
         *until
     }
 
-    /// When an engine's backoff ends, or has ended a short time ago; absent where it asked for none.
+    /// End of the backoff that an engine requested, possibly in the past; `None` if there is none or it was removed after
+    /// its end.
     pub fn backoff_end(&self, engine: SubjectHandle) -> Option<MonotonicTime> {
         self.backoffs.get(&engine).copied()
     }
 
-    /// Engines that are backed off from now.
+    /// Engines whose backoff has not ended.
     pub fn backed_off(&self, now: MonotonicTime) -> impl Iterator<Item = SubjectHandle> {
-        let in_force = self.backoffs.iter().filter(move |(_, until)| **until > now);
-        in_force.map(|(engine, _)| *engine)
+        let active = self.backoffs.iter().filter(move |(_, until)| **until > now);
+        active.map(|(engine, _)| *engine)
     }
 }
--- a/crates/core/src/routing/health.rs
+++ b/crates/core/src/routing/health.rs
@@ -12,7 +12,7 @@
 /// Added to both delays before they are compared, so that tiny ones do not count as slowness.
 const DELAY_FLOOR_SECONDS: f64 = 0.05;
 /// Largest factor by which one observation may count.
-const LARGEST_FACTOR: f64 = 50.0;
+const MAX_OUTLIER_RATIO: f64 = 50.0;
 /// First pause after a connection to the engine broke.
 const BROKEN_PAUSE: Duration = Duration::from_millis(500);
 /// First pause after the engine said that its queue is full.
@@ -142,5 +142,5 @@
 pub fn delay_factor(observed: Duration, expected: Duration) -> f64 {
     let observed = observed.as_secs_f64() + DELAY_FLOOR_SECONDS;
     let expected = expected.as_secs_f64() + DELAY_FLOOR_SECONDS;
-    (observed / expected).clamp(1.0 / LARGEST_FACTOR, LARGEST_FACTOR)
+    (observed / expected).clamp(1.0 / MAX_OUTLIER_RATIO, MAX_OUTLIER_RATIO)
 }
--- a/crates/core/src/routing/pool/admission.rs
+++ b/crates/core/src/routing/pool/admission.rs
@@ -188,7 +188,7 @@
             admission: Admission::InTime,
             route,
             expected: Duration::ZERO,
-            error: speeds.error.factor(care),
+            error: speeds.estimate_error.factor(care),
             turned_away: speeds.rejection_rate.share(),
             cannot_be_in_time: false,
             queue_part: None,
@@ -354,6 +354,6 @@
     pub fn on_first_event(&mut self, query: &PoolQuery<'_>, expected: Duration, took: Duration) {
         let assumed = self.assumed_speeds();
         let speeds = self.speeds.entry(query.pool.clone()).or_insert(assumed);
-        speeds.error.observe(expected, took);
+        speeds.estimate_error.observe(expected, took);
     }
 }
--- a/crates/core/src/routing/pool/choice.rs
+++ b/crates/core/src/routing/pool/choice.rs
@@ -334,7 +334,7 @@
         let homes = self.engines.values().filter(|state| {
             state.engine.pool == *query.pool
                 && state.engine.stage == EngineStage::Prefill
-                && state.stays()
+                && state.is_active()
                 && state.cordon_allows(now, false)
                 && !query.excluded.contains(&state.engine.id)
         });
--- a/crates/core/src/routing/pool/concurrent_work.rs
+++ b/crates/core/src/routing/pool/concurrent_work.rs
@@ -1,4 +1,4 @@
-//! What runs at engines beside an output, for the log of its pauses, and how long a prompt waits to be read apart.
+//! Work that runs at an engine concurrently with an output, and the queueing time at prefill engines.
 
 use super::engine::EngineStage;
 use super::query::PoolQuery;
@@ -6,21 +6,21 @@
 use crate::identity::EngineId;
 use crate::time::MonotonicTime;
 
-/// What is believed to run beside an output at an engine.
+/// Estimated work at an engine that runs concurrently with an output.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConcurrentWork {
-    /// Outputs, that one among them.
+    /// Number of outputs, including the one in question.
     pub outputs: u32,
-    /// Prompt tokens to read.
+    /// Prompt tokens waiting for prefill.
     pub prompt_tokens: u64,
-    /// Tokens of KV cache that are on their way there.
+    /// Tokens of KV cache being transferred to the engine.
     pub moving_tokens: u64,
-    /// How long work takes there, in hundredths of what is usual in the pool.
+    /// Duration of work at the engine, as a percentage of the average in the pool.
     pub work_factor_percent: u32,
 }
 
 impl PoolRouter {
-    /// What is believed to run at an engine, for the log of a pause; nothing where the engine is not known.
+    /// Estimated work at an engine, for the log of output pauses; all zero if the engine is unknown.
     pub fn concurrent_work(&self, engine: &EngineId, now: MonotonicTime) -> ConcurrentWork {
         let Some(state) = self.engines.get(engine) else {
             return ConcurrentWork::default();
@@ -34,7 +34,8 @@
         }
     }
 
-    /// Shortest time until an engine that reads prompts would begin with a prompt.
+    /// Shortest estimated queueing time in seconds before the prompt of a query starts at a prefill engine; `None` if the
+    /// query has no prompt, there is no such engine, or pauses are not weighted.
     pub(super) fn min_prefill_wait(&self, query: &PoolQuery<'_>, now: MonotonicTime) -> Option<f64> {
         if self.weights.pause_seconds == 0.0 || query.prompt.is_none() {
             return None;
--- a/crates/core/src/routing/pool/cordoned.rs
+++ b/crates/core/src/routing/pool/cordoned.rs
@@ -107,7 +107,7 @@
 
     /// Every engine that is listed and stays.
     pub fn standings(&self) -> Vec<EngineStanding> {
-        let staying = self.engines.values().filter(|state| state.stays());
+        let staying = self.engines.values().filter(|state| state.is_active());
         let staying = staying.map(|state| &state.engine).chain(self.reserve());
         staying
             .map(|engine| EngineStanding {
--- a/crates/core/src/routing/pool/dispatches.rs
+++ b/crates/core/src/routing/pool/dispatches.rs
@@ -1,4 +1,4 @@
-//! The fate of what was sent: work under kv_source, speeds, health and what engines come to hold.
+//! Lifecycle of dispatches: updates in-flight work, speeds, health and prefix estimates from their outcomes.
 
 use super::admission::LATE_RANK;
 use super::beliefs::PrefixNews;
@@ -14,41 +14,41 @@
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// Most news of prefixes that wait to be told to other nodes.
+/// Maximum number of prefix updates queued for peers.
 const MAX_PENDING_UPDATES: usize = 64;
 
-/// Share of an observation in an engine's slowness.
-const SLOWNESS_SHARE: f64 = 0.3;
+/// Weight of a new observation in the moving average of an engine's slowness.
+const SLOWNESS_WEIGHT: f64 = 0.3;
 
-/// Bounds of an engine's slowness.
+/// Minimum and maximum slowness of an engine.
 const SLOWNESS_BOUNDS: (f64, f64) = (1.0, 20.0);
 
-/// How an engine that answers comes by the prompt's KV cache.
+/// How an engine obtains the KV cache of the prompt before it generates the output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KvCacheSource {
-    /// It reads the prompt itself.
+    /// It prefills the prompt itself.
     Prefill,
-    /// It fetches what another engine has read.
+    /// It fetches the KV cache from the engine that prefilled the prompt.
     Transfer,
 }
 
-/// Receipt of one dispatch, to be handed back when it ends.
+/// Identifies one dispatch; passed to the router again with each event of the dispatch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PoolTicket {
     engine: EngineId,
-    /// Zone of the node that sent it.
-    from: ZoneId,
+    /// Zone of the node that sent the dispatch.
+    sender_zone: ZoneId,
     number: u64,
 }
 
 impl PoolTicket {
-    /// The engine it was sent to.
+    /// Engine that the dispatch was sent to.
     pub fn engine(&self) -> &EngineId {
         &self.engine
     }
 
-    pub(super) fn from(&self) -> &ZoneId {
-        &self.from
+    pub(super) fn sender_zone(&self) -> &ZoneId {
+        &self.sender_zone
     }
 
     pub(super) fn number(&self) -> u64 {
@@ -57,19 +57,19 @@
 }
 
 impl PoolRouter {
-    /// Notes that a prompt is sent to an engine that reads it.
+    /// Records the dispatch of a prompt to an engine that prefills it.
     pub fn on_prompt_sent(
         &mut self,
         engine: &EngineId,
         query: &PoolQuery<'_>,
         now: MonotonicTime,
     ) -> PoolTicket {
-        let reading = self.prefill_work_at(engine, query, now);
-        let memory = query.prompt.map_or(0, |prompt| prompt.tokens);
-        self.note_dispatch(engine, query, reading, f64::from(memory), None, now)
+        let prefill = self.prefill_work_at(engine, query, now);
+        let memory_tokens = query.prompt.map_or(0, |prompt| prompt.tokens);
+        self.note_dispatch(engine, query, prefill, f64::from(memory_tokens), None, now)
     }
 
-    /// Notes that a request is sent to an engine that answers it.
+    /// Records the dispatch of a request to the engine that generates its output.
     pub fn on_output_sent(
         &mut self,
         engine: &EngineId,
@@ -78,15 +78,22 @@
         now: MonotonicTime,
     ) -> PoolTicket {
         let prompt_tokens = query.prompt.map_or(0, |prompt| prompt.tokens);
-        let reading = match kv_source {
+        let prefill = match kv_source {
             KvCacheSource::Prefill => self.prefill_work_at(engine, query, now),
             KvCacheSource::Transfer => ReadingWork {
                 computed: 0.0,
                 fetched: f64::from(prompt_tokens),
             },
         };
-        let memory = query.prompt.map_or(0, PromptShape::memory_tokens);
-        self.note_dispatch(engine, query, reading, f64::from(memory), Some(kv_source), now)
+        let memory_tokens = query.prompt.map_or(0, PromptShape::memory_tokens);
+        self.note_dispatch(
+            engine,
+            query,
+            prefill,
+            f64::from(memory_tokens),
+            Some(kv_source),
+            now,
+        )
     }
 
     fn prefill_work_at(&self, engine: &EngineId, query: &PoolQuery<'_>, now: MonotonicTime) -> ReadingWork {
@@ -95,43 +102,45 @@
         state.map_or(ReadingWork::default(), |state| context.reading(state, query))
     }
 
-    /// Notes that an engine has read a prompt, whose parts it holds from now on.
+    /// Records that an engine has finished prefilling a prompt and now holds its prefix blocks.
     pub fn on_prompt_prefilled(&mut self, ticket: &PoolTicket, prefixes: &[PrefixBlock], now: MonotonicTime) {
         let Some(state) = self.engines.get_mut(&ticket.engine) else {
             return;
         };
         state.health.succeeded();
         state.breaks.answered();
-        note_held(state, prefixes, &mut self.prefix_updates, now);
-        self.paths.note_answer(&ticket.from, &state.engine.zone, now);
+        record_prefixes(state, prefixes, &mut self.prefix_updates, now);
+        self.paths
+            .note_answer(&ticket.sender_zone, &state.engine.zone, now);
         let work = state.in_flight.remove(&ticket.number);
         if let Some(work) = work {
             self.observe_prefill(&ticket.engine, &work, |speeds| &mut speeds.prefill, now);
         }
     }
 
-    /// Notes that parts of a prompt came to be held by an engine that fetched them.
+    /// Records that an engine holds prefix blocks that it fetched from another engine.
     pub fn on_prefixes_held(&mut self, engine: &EngineId, prefixes: &[PrefixBlock], now: MonotonicTime) {
         if let Some(state) = self.engines.get_mut(engine) {
-            note_held(state, prefixes, &mut self.prefix_updates, now);
+            record_prefixes(state, prefixes, &mut self.prefix_updates, now);
         }
     }
 
-    /// Notes that an engine that reads a prompt and runs its output has come to the output.
+    /// Records the first output event of a dispatch, after which the engine has no prefill or transfer left for it.
     pub fn on_output_started(&mut self, ticket: &PoolTicket, prefixes: &[PrefixBlock], now: MonotonicTime) {
         let Some(state) = self.engines.get_mut(&ticket.engine) else {
             return;
         };
-        note_held(state, prefixes, &mut self.prefix_updates, now);
-        self.paths.note_answer(&ticket.from, &state.engine.zone, now);
+        record_prefixes(state, prefixes, &mut self.prefix_updates, now);
+        self.paths
+            .note_answer(&ticket.sender_zone, &state.engine.zone, now);
         let Some(work) = state.in_flight.get_mut(&ticket.number) else {
             return;
         };
         let before = *work;
         work.prompt_tokens = 0.0;
         work.moving_tokens = 0.0;
-        work.begun_at = Some(now);
-        work.momentary = state.pace.momentary_factor(now);
+        work.first_event_at = Some(now);
+        work.momentary_pace = state.pace.momentary_factor(now);
         if before.prompt_tokens > 0.0 {
             self.observe_prefill(&ticket.engine, &before, |speeds| &mut speeds.decode, now);
         } else if before.kv_source == Some(KvCacheSource::Transfer) {
@@ -144,26 +153,26 @@
         }
     }
 
-    /// Takes a pause between two events of an output, as part of the longest that is harmless.
-    pub fn on_pause(&mut self, ticket: &PoolTicket, part: f64, now: MonotonicTime) {
+    /// Records the gap between two events of an output, as a fraction of the maximum tolerated gap.
+    pub fn on_pause(&mut self, ticket: &PoolTicket, fraction: f64, now: MonotonicTime) {
         let assumed = self.assumed_speeds();
         let Some(state) = self.engines.get(&ticket.engine) else {
             return;
         };
         let speeds = self.speeds.entry(state.engine.pool.clone()).or_insert(assumed);
         if state.load(now).all_prompt_tokens() > 0.0 {
-            speeds.pauses.observe(part);
-        } else if let Some(bound) = state
+            speeds.pauses.observe(fraction);
+        } else if let Some(limit) = state
             .in_flight
             .get(&ticket.number)
             .and_then(|work| work.max_event_gap)
         {
-            let seconds = part * bound.as_secs_f64();
+            let seconds = fraction * limit.as_secs_f64();
             speeds.pace.observe(seconds / state.work_factor(now));
         }
     }
 
-    /// Notes that an output paused for longer than is harmless: it is late, and no other pause makes it later.
+    /// Records that a gap exceeded the maximum. The output already counts as late, so later gaps are no longer considered.
     pub fn on_event_gap_exceeded(&mut self, ticket: &PoolTicket) {
         let state = self.engines.get_mut(&ticket.engine);
         if let Some(work) = state.and_then(|state| state.in_flight.get_mut(&ticket.number)) {
@@ -171,7 +180,7 @@
         }
     }
 
-    /// Learns from an output whose last event has come.
+    /// Updates the engine's pace from an output that has completed.
     pub fn on_output_ended(&mut self, ticket: &PoolTicket, now: MonotonicTime) {
         let state = self.engines.get(&ticket.engine);
         if let Some(work) = state
@@ -182,38 +191,39 @@
         }
     }
 
-    /// Notes that a dispatch ended well.
+    /// Records that a dispatch succeeded.
     pub fn on_answered(&mut self, ticket: &PoolTicket) {
         if let Some(state) = self.engines.get_mut(&ticket.engine) {
             let work = state.in_flight.remove(&ticket.number);
             state.health.succeeded();
             state.breaks.answered();
-            // Its answer came after it was sent; when, only a series of events has told before.
+            // The time of the answer is not known here; the dispatch time is a lower bound.
             if let Some(work) = work {
                 self.paths
-                    .note_answer(&ticket.from, &state.engine.zone, work.sent_at);
+                    .note_answer(&ticket.sender_zone, &state.engine.zone, work.sent_at);
             }
         }
     }
 
-    /// Notes that a dispatch ended for a cause that is not the engine's.
+    /// Records that a dispatch ended for a reason other than a fault of the engine.
     pub fn on_abandoned(&mut self, ticket: &PoolTicket) {
         if let Some(state) = self.engines.get_mut(&ticket.engine) {
             state.in_flight.remove(&ticket.number);
         }
     }
 
-    /// Notes that an engine refused a dispatch before running it.
+    /// Records that an engine refused a dispatch before running it.
     pub fn on_refused(&mut self, ticket: &PoolTicket, reason: EngineRefusalReason, now: MonotonicTime) {
         if let Some(state) = self.engines.get_mut(&ticket.engine) {
             state.in_flight.remove(&ticket.number);
             state.note_answer(now);
             state.health.refused(reason, now);
-            self.paths.note_answer(&ticket.from, &state.engine.zone, now);
+            self.paths
+                .note_answer(&ticket.sender_zone, &state.engine.zone, now);
         }
     }
 
-    /// Notes that a connection to an engine broke or was refused.
+    /// Records that a connection to an engine failed or was refused.
     pub fn on_broken(&mut self, ticket: &PoolTicket, now: MonotonicTime) {
         if let Some(state) = self.engines.get_mut(&ticket.engine) {
             state.in_flight.remove(&ticket.number);
@@ -222,12 +232,12 @@
         }
     }
 
-    /// Learns from a reading that is done: the pool's speed, and how much slower than it the engine is.
+    /// Updates the pool's prefill speed and the engine's pace or slowness from a completed prefill.
     fn observe_prefill(
         &mut self,
         engine: &EngineId,
         work: &InFlightWork,
-        line: fn(&mut PoolSpeeds) -> &mut PrefillSpeed,
+        speed_of: fn(&mut PoolSpeeds) -> &mut PrefillSpeed,
         now: MonotonicTime,
     ) {
         let assumed = self.assumed_speeds();
@@ -238,16 +248,16 @@
         let pool = state.engine.pool.clone();
         let speeds = self.speeds.entry(pool).or_insert(assumed);
         if work.rank == LATE_RANK {
-            // What waits behind everything else tells nothing of the engine.
+            // Requests of the lowest rank wait behind all others, so their duration says nothing about the engine.
             speeds.late.observe(work.tokens_until_prefilled, took);
             return;
         }
-        let speed = line(speeds);
+        let speed = speed_of(speeds);
         let expected = speed.seconds(work.tokens_until_prefilled);
-        // Who waited for a place, or met a slow engine, tells nothing of the pool's speed.
+        // Excludes requests that were queued at a full engine: their duration includes the queueing time.
         if work.kv_source.is_none() || work.had_free_slot {
             if state.pace.in_use {
-                let momentary = (work.momentary + state.pace.momentary_factor(now)) / 2.0;
+                let momentary = (work.momentary_pace + state.pace.momentary_factor(now)) / 2.0;
                 let factor = momentary * state.pace.lasting.factor();
                 let fixed = speed.fixed_seconds();
                 speed.observe(work.tokens_until_prefilled * factor, took);
@@ -256,13 +266,13 @@
                 } else {
                     ObservedWork::PrefillDuringDecode
                 };
-                let seen = PaceObservation {
+                let observation = PaceObservation {
                     kind,
                     expected: expected - fixed,
                     took: (took.as_secs_f64() - fixed).max(0.0),
                     momentary,
                 };
-                self.observe_pace(engine, seen, now);
+                self.observe_pace(engine, observation, now);
             } else {
                 speed.observe(work.tokens_until_prefilled, took.div_f64(state.slowness));
                 observe_slowness(state, took, expected);
@@ -274,7 +284,7 @@
         &mut self,
         engine: &EngineId,
         query: &PoolQuery<'_>,
-        reading: ReadingWork,
+        prefill: ReadingWork,
         memory_tokens: f64,
         kv_source: Option<KvCacheSource>,
         now: MonotonicTime,
@@ -285,21 +295,21 @@
             let (pool, stage) = (state.engine.pool.clone(), state.engine.stage);
             self.count_sent(&pool, stage, now);
         }
-        self.demand.on_sent(reading.computed, now);
+        self.demand.on_sent(prefill.computed, now);
         if let Some(state) = self.engines.get_mut(engine) {
             let work = InFlightWork {
                 rank,
-                prompt_tokens: reading.computed,
+                prompt_tokens: prefill.computed,
                 memory_tokens,
-                moving_tokens: reading.fetched,
+                moving_tokens: prefill.fetched,
                 sent_at: now,
                 kv_source,
                 had_free_slot: state.has_free_slot(now),
-                tokens_until_prefilled: state.load(now).prompt_tokens_ahead(rank) + reading.computed,
+                tokens_until_prefilled: state.load(now).prompt_tokens_ahead(rank) + prefill.computed,
                 max_event_gap: query.terms.max_event_gap.filter(|_| kv_source.is_some()),
                 output_tokens: query.prompt.map_or(0, PromptShape::expected_output_tokens),
-                begun_at: None,
-                momentary: state.pace.momentary_factor(now),
+                first_event_at: None,
+                momentary_pace: state.pace.momentary_factor(now),
             };
             state.in_flight.insert(self.tickets, work);
             state
@@ -309,23 +319,23 @@
         }
         PoolTicket {
             engine: engine.clone(),
-            from: query.zone.clone(),
+            sender_zone: query.zone.clone(),
             number: self.tickets,
         }
     }
 }
 
-fn note_held(
+fn record_prefixes(
     state: &mut EngineState,
     prefixes: &[PrefixBlock],
-    news: &mut Vec<PrefixNews>,
+    updates: &mut Vec<PrefixNews>,
     now: MonotonicTime,
 ) {
     state.note_answer(now);
     state.prefixes.note_read(prefixes, now);
-    // A request's own part is told too: no other request needs it, but it takes the place of parts that others do.
-    if !shared_prefixes(prefixes).is_empty() && news.len() < MAX_PENDING_UPDATES {
-        news.push(PrefixNews {
+    // The update includes the block of this request alone: it cannot be shared, but displaces shared blocks from the cache.
+    if !shared_prefixes(prefixes).is_empty() && updates.len() < MAX_PENDING_UPDATES {
+        updates.push(PrefixNews {
             engine: state.handle,
             prefixes: prefixes.to_vec(),
             just_answered: true,
@@ -333,10 +343,10 @@
     }
 }
 
-/// Takes how long a reading took beside what the engine's pool leads to expect.
+/// Updates the slowness of an engine from the actual and the expected duration of a prefill, in seconds.
 fn observe_slowness(state: &mut EngineState, took: Duration, expected: f64) {
     const FLOOR_SECONDS: f64 = 0.1;
     let factor = (took.as_secs_f64() + FLOOR_SECONDS) / (expected + FLOOR_SECONDS);
-    let (least, most) = SLOWNESS_BOUNDS;
-    state.slowness = (state.slowness + SLOWNESS_SHARE * (factor - state.slowness)).clamp(least, most);
+    let (min, max) = SLOWNESS_BOUNDS;
+    state.slowness = (state.slowness + SLOWNESS_WEIGHT * (factor - state.slowness)).clamp(min, max);
 }
--- a/crates/core/src/routing/pool/engine.rs
+++ b/crates/core/src/routing/pool/engine.rs
@@ -1,4 +1,4 @@
-//! What is known of one engine of a pool.
+//! State that the router keeps for each engine of a pool: listing, load, health and pending orders.
 
 use super::beliefs::{PeerWork, RANKS};
 use super::cordoned::EngineCordon;
@@ -19,57 +19,57 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What an engine of a split pool does.
+/// Part of request processing that an engine performs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum EngineStage {
-    /// Serves whole requests; runs no model.
+    /// Serves complete requests without prefill and decode stages.
     Whole,
-    /// Reads prompts.
+    /// Computes the KV cache of prompts.
     Prefill,
-    /// Runs outputs; may read a prompt itself, slowly.
+    /// Generates output tokens; can also prefill a prompt, but more slowly than a prefill engine.
     Decode,
 }
 
-/// One engine as the platform lists it.
+/// Entry of one engine in the platform's engine list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolEngine {
-    /// Name of this start of the engine.
+    /// Identifier of this start of the engine; a restarted engine gets a new one.
     pub id: EngineId,
-    /// Pool it serves.
+    /// Pool that the engine belongs to.
     pub pool: PoolId,
-    /// Where it listens.
+    /// Address on which the engine accepts requests.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone in which the engine runs.
     pub zone: ZoneId,
-    /// Requests that it runs at once.
+    /// Maximum number of requests that run concurrently.
     pub places: u32,
-    /// Whether it is about to leave and takes nothing new.
+    /// Whether the engine drains: it finishes its requests and accepts no new ones.
     pub leaving: bool,
-    /// What it does.
+    /// Stage that the engine serves.
     pub stage: EngineStage,
-    /// Models that it holds.
+    /// Models that the engine has loaded.
     pub models: Vec<String>,
-    /// Time for which it is still slow after its start.
+    /// Remaining time for which the engine is slower than usual after its start.
     pub warming: Duration,
-    /// Whether the platform may take it back.
+    /// Whether the engine runs on a spot instance, which the platform may reclaim.
     pub spot: bool,
 }
 
-/// Load that an engine told in an answer.
+/// Load that an engine reports in a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportedLoad {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Requests that it can run at once.
+    /// Maximum number of requests that run concurrently.
     pub places: u32,
-    /// How long work takes on its machine at this moment, in hundredths of what is usual there; absent where it doesn't
-    /// tell. Engines share their machines with others, so this changes many times a second.
+    /// Current duration of work on the engine's machine, as a percentage of its usual duration there; `None` if the engine
+    /// does not report it. Engines share machines with other processes, so the value changes many times a second.
     pub work_time_percent: Option<u32>,
 }
 
-/// Work that this node handed to an engine and that has not ended.
+/// A dispatch from this node to an engine that has not ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct InFlightWork {
     pub(super) rank: usize,
@@ -77,55 +77,56 @@
     pub(super) memory_tokens: f64,
     pub(super) moving_tokens: f64,
     pub(super) sent_at: MonotonicTime,
-    /// How the engine comes by the KV cache of an output; absent where it only reads.
+    /// How the engine obtains the KV cache for the output; `None` for a dispatch that only prefills.
     pub(super) kv_source: Option<KvCacheSource>,
-    /// Whether a place was free when it was sent.
+    /// Whether the engine could run one more request at dispatch time.
     pub(super) had_free_slot: bool,
-    /// Prompt tokens that were to be read there until this prompt was read, its own among them.
+    /// Prompt tokens that the engine had to prefill before this prompt was done, including those of this prompt.
     pub(super) tokens_until_prefilled: f64,
-    /// Longest harmless pause between its events; absent where none is named, nothing is run, or one was longer.
+    /// Maximum tolerated gap between output events; `None` if the route sets none, the dispatch only prefills, or a gap
+    /// has already exceeded it.
     pub(super) max_event_gap: Option<Duration>,
-    /// Tokens that its output is expected to have.
+    /// Expected number of output tokens.
     pub(super) output_tokens: u32,
-    /// When its first event came.
-    pub(super) begun_at: Option<MonotonicTime>,
-    /// Momentary factor of its engine when it was sent, or when its output began.
-    pub(super) momentary: f64,
+    /// Time of the first output event.
+    pub(super) first_event_at: Option<MonotonicTime>,
+    /// Momentary pace factor of the engine at dispatch time, replaced by that at the first output event.
+    pub(super) momentary_pace: f64,
 }
 
-/// Work at an engine, from everybody.
+/// Load of one engine: the sum of requests from all nodes, or from this node alone.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EngineLoad {
-    /// Prompt tokens to read, by rank.
+    /// Prompt tokens waiting for prefill, by priority rank.
     pub prompt_tokens: [f64; RANKS],
-    /// Requests.
+    /// Number of requests that have not ended.
     pub requests: f64,
-    /// Tokens of KV cache that the requests hold or will hold.
+    /// Tokens of KV cache that these requests occupy or will occupy.
     pub memory_tokens: f64,
-    /// Tokens of KV cache that are on their way there; an engine takes one cache at a time.
+    /// Tokens of KV cache being transferred to the engine, which receives one transfer at a time.
     pub moving_tokens: f64,
-    /// Requests of which no prompt is left to read.
+    /// Number of requests without remaining prefill.
     pub outputs: f64,
-    /// Tokens of KV cache of those requests.
+    /// Tokens of KV cache that `outputs` occupy or will occupy.
     pub output_tokens: f64,
-    /// Those of them whose route names the longest harmless pause, and that have kept to it so far.
+    /// Number of `outputs` that have a maximum gap between events and have not exceeded it.
     pub streams: f64,
-    /// Shortest of the longest harmless pauses of those streams; absent where there is none.
+    /// Smallest maximum gap between events among `streams`; `None` if there are no streams.
     pub min_event_gap_limit: Option<Duration>,
 }
 
 impl EngineLoad {
-    /// Prompt tokens that are read before those of a request of a rank that comes now.
+    /// Prompt tokens to prefill before a new request of the given rank.
     pub fn prompt_tokens_ahead(&self, rank: usize) -> f64 {
         self.prompt_tokens[..=rank.min(RANKS - 1)].iter().sum()
     }
 
-    /// Prompt tokens that are read after those of a request of a rank that comes now.
+    /// Prompt tokens to prefill after a new request of the given rank.
     pub fn prompt_tokens_behind(&self, rank: usize) -> f64 {
         self.prompt_tokens[rank.min(RANKS - 1) + 1..].iter().sum()
     }
 
-    /// Prompt tokens of every rank.
+    /// Prompt tokens waiting for prefill, over all ranks.
     pub fn all_prompt_tokens(&self) -> f64 {
         self.prompt_tokens.iter().sum()
     }
@@ -141,11 +142,11 @@
         self.output_tokens += f64::from(work.output_tokens);
         let millis = u64::from(work.shortest_bound_millis);
         self.streams += f64::from(work.streams);
-        self.add_bound((millis > 0).then_some(Duration::from_millis(millis)));
+        self.add_event_gap_limit((millis > 0).then_some(Duration::from_millis(millis)));
     }
 
-    fn add_bound(&mut self, bound: Option<Duration>) {
-        self.min_event_gap_limit = [self.min_event_gap_limit, bound].into_iter().flatten().min();
+    fn add_event_gap_limit(&mut self, limit: Option<Duration>) {
+        self.min_event_gap_limit = [self.min_event_gap_limit, limit].into_iter().flatten().min();
     }
 
     fn add_in_flight(&mut self, work: &InFlightWork) {
@@ -157,11 +158,11 @@
             self.outputs += 1.0;
             self.output_tokens += work.memory_tokens;
             self.streams += if work.max_event_gap.is_some() { 1.0 } else { 0.0 };
-            self.add_bound(work.max_event_gap);
+            self.add_event_gap_limit(work.max_event_gap);
         }
     }
 
-    /// As it is told to other nodes.
+    /// Converts the load to the form that is sent to peers; fractions are cut off.
     pub fn to_peer_load(&self) -> PeerWork {
         PeerWork {
             prompt_tokens: self.prompt_tokens.map(|tokens| tokens as u32),
@@ -173,30 +174,30 @@
             streams: self.streams as u32,
             shortest_bound_millis: self
                 .min_event_gap_limit
-                .map_or(0, |bound| bound.as_millis() as u32),
+                .map_or(0, |limit| limit.as_millis() as u32),
         }
     }
 }
 
-/// An engine that the platform lists no longer.
+/// Removal of an engine from the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Delisted {
     pub(super) since: MonotonicTime,
-    /// The store was in trouble, so the engine may only have failed to renew its entry.
+    /// Whether the store had failed shortly before, so that a live engine may have been unable to renew its entry.
     pub(super) doubtful: bool,
 }
 
-/// Longest time that a change of stage is waited for; an order may be carried out seconds after it was given.
+/// Time after which an order to change stage counts as not carried out.
 const STAGE_ORDER_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Time for which an engine whose disappearance is in doubt is still used; it renews its entry sooner if it lives.
+/// Time for which an engine stays in use after a doubtful removal; a live engine renews its entry within this time.
 const DOUBTFUL_ENGINE_TTL: Duration = Duration::from_millis(1_600);
 
-/// Time after which an engine that is gone is forgotten; one that comes back sooner keeps what is known of it.
+/// Time for which the state of a delisted engine is retained, so that an engine listed again within it keeps its state.
 pub(super) const DELISTED_RETENTION: Duration = Duration::from_secs(6);
 
 impl EngineStage {
-    /// Name for logs and pages.
+    /// Name used in logs and operator pages.
     pub fn name(self) -> &'static str {
         match self {
             Self::Whole => "whole",
@@ -212,51 +213,51 @@
     }
 }
 
-/// One engine as the router sees it.
+/// Router state of one engine.
 #[derive(Clone, Debug)]
 pub struct EngineState {
-    /// As listed.
+    /// Latest entry in the platform's list.
     pub engine: PoolEngine,
-    /// Short name of this start of the engine, the same at every node.
+    /// Short identifier of this start of the engine, the same on every node.
     pub handle: SubjectHandle,
-    /// Prompt parts that it is believed to hold.
+    /// Estimate of the prefix blocks in the engine's KV cache.
     pub prefixes: PrefixBelief,
-    /// When it was last known to answer, to this node or another.
+    /// Time of the last known response to any node.
     pub(super) last_answer_at: Option<MonotonicTime>,
-    /// The stage that it has been ordered to take, and since when, until it is listed so.
+    /// Stage that the engine has been ordered to change to and the time of the order; cleared once the list shows it.
     pub(super) stage_order: Option<(EngineStage, MonotonicTime)>,
-    /// Present where the platform lists the engine no longer.
+    /// Set while the engine is absent from the platform's list.
     pub(super) delisted: Option<Delisted>,
-    /// Whether a later start of the engine is known, so that this one has ended for certain.
+    /// Whether a later start of the engine is known, which proves that this one has ended.
     pub(super) replaced: bool,
-    /// When its zone was last seen to take spot engines back while this one was listed as staying.
+    /// Last time at which the zone reclaimed spot engines while this one was not listed as draining.
     pub(super) reclaim_seen_at: Option<MonotonicTime>,
-    /// How operators' cordons bear on it.
+    /// Effect of operators' cordons on the engine.
     pub(super) cordon: EngineCordon,
-    /// End of the last backoff that it asked this node for; load returns to it step by step from then on.
+    /// End of the last backoff that the engine requested from this node; traffic resumes gradually after it.
     pub(super) backoff_end: Option<MonotonicTime>,
     pub(super) health: Health,
     pub(super) breaks: BreakShare,
     pub(super) in_flight: BTreeMap<u64, InFlightWork>,
     pub(super) reported_load: Option<(ReportedLoad, MonotonicTime)>,
-    /// The rate limit that it names in its answers.
+    /// Estimate of the rate limit that the engine reports in its responses.
     pub(super) limit: LimitBelief,
     pub(super) peers: BTreeMap<NodeId, (PeerWork, MonotonicTime)>,
-    /// Factor by which it answers slower than expected; one when it does not. Decides where `pace` is not in use.
+    /// Ratio of actual to expected response time, at least one; used while `pace` is not in use.
     pub(super) slowness: f64,
-    /// Prompt tokens that it had to read at once of late.
+    /// Recent peak of the prompt tokens waiting for prefill.
     pub(super) recent_prefill: RecentReading,
-    /// Its lasting speed and how its machine stands.
+    /// Estimates of the engine's lasting and momentary pace.
     pub(super) pace: EnginePace,
 }
 
-/// Age from which another node's word no longer counts.
+/// Age at which a peer's load report expires.
 const PEER_REPORT_TTL: Duration = Duration::from_millis(1_500);
 
-/// Silence towards everybody from which an engine no longer counts as busy but alive.
+/// Time without a response to any node after which an engine no longer counts as alive.
 const LIVENESS_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Age from which a told load no longer counts.
+/// Age at which a load reported by an engine expires.
 const REPORTED_LOAD_TTL: Duration = Duration::from_millis(400);
 
 impl EngineState {
@@ -284,7 +285,7 @@
         }
     }
 
-    /// Takes a new listing of the same start of the engine.
+    /// Applies a new list entry of the same start of the engine.
     pub(super) fn update(&mut self, engine: PoolEngine) {
         self.delisted = None;
         if self.stage_order.is_some_and(|(stage, _)| stage == engine.stage) {
@@ -293,14 +294,14 @@
         self.engine = engine;
     }
 
-    /// Work of this node alone.
+    /// Load from requests of this node.
     pub fn own_load(&self) -> EngineLoad {
         let mut sum = EngineLoad::default();
         self.in_flight.values().for_each(|work| sum.add_in_flight(work));
         sum
     }
 
-    /// Work of every node, as far as it is known.
+    /// Estimated load from requests of all nodes: own requests plus unexpired reports of peers and of the engine.
     pub fn load(&self, now: MonotonicTime) -> EngineLoad {
         let mut sum = self.own_load();
         for (work, at) in self.peers.values() {
@@ -308,15 +309,15 @@
                 sum.add_peer(work);
             }
         }
-        if let Some((told, at)) = self.reported_load
+        if let Some((report, at)) = self.reported_load
             && now.since(at) < REPORTED_LOAD_TTL
         {
-            sum.requests = sum.requests.max(f64::from(told.running + told.waiting));
+            sum.requests = sum.requests.max(f64::from(report.running + report.waiting));
         }
         sum
     }
 
-    /// Factor by which work takes longer here than at a usual engine of its pool, as far as is known now.
+    /// Estimated ratio of the time that work takes here to the time at an average engine of the pool.
     pub fn work_factor(&self, now: MonotonicTime) -> f64 {
         if self.pace.in_use() {
             self.pace.factor(now)
@@ -325,11 +326,11 @@
         }
     }
 
-    /// Seconds until so many prompt tokens are read here, by a line learned over the pool.
+    /// Estimated time to prefill `tokens` prompt tokens here, in seconds, from the pool's prefill speed.
     ///
-    /// Where the pace decides, it stretches the tokens alone: the fixed part is mostly the wait for work that nobody had
-    /// told of yet, which does not grow at a slow engine. Stretched with the rest, it made queues at quick engines look
-    /// better than idle engines: of 1,386 prompts on a recorded day 650 met an idle engine, 929 of 1,434 without paces.
+    /// The pace scales the token count but not the fixed part of the estimate. The fixed part is mostly queueing behind
+    /// requests not yet reported by peers, which is no longer at a slow engine; scaling it as well would favor queues at fast
+    /// engines over idle engines.
     pub fn prefill_seconds(&self, line: &PrefillSpeed, tokens: f64, now: MonotonicTime) -> f64 {
         if self.pace.in_use() {
             line.seconds(tokens * self.pace.factor(now))
@@ -338,34 +339,34 @@
         }
     }
 
-    /// Its lasting speed and how its machine stands.
+    /// Estimates of the engine's lasting and momentary pace.
     pub fn pace(&self) -> &EnginePace {
         &self.pace
     }
 
-    /// Requests that waited here when it last told; absent where that no longer counts.
+    /// Number of queued requests in the engine's last report; `None` if there is no report or it has expired.
     pub fn reported_waiting(&self, now: MonotonicTime) -> Option<u32> {
-        let (told, at) = self.reported_load?;
-        (now.since(at) < REPORTED_LOAD_TTL).then_some(told.waiting)
+        let (report, at) = self.reported_load?;
+        (now.since(at) < REPORTED_LOAD_TTL).then_some(report.waiting)
     }
 
-    /// Whether one more request would find a place now.
+    /// Whether the engine can run one more request without queueing it.
     pub(super) fn has_free_slot(&self, now: MonotonicTime) -> bool {
         self.load(now).requests + 1.0 <= f64::from(self.engine.places.max(1))
     }
 
-    /// Whether the engine has answered anybody a moment ago; a busy one does, a dead one does not.
+    /// Whether the engine has responded to any node recently, which distinguishes a busy engine from a dead one.
     pub fn answered_recently(&self, now: MonotonicTime) -> bool {
         self.last_answer_at
             .is_some_and(|at| now.since(at) < LIVENESS_TIMEOUT)
     }
 
-    /// Notes that the engine answers.
+    /// Records a response of the engine, to this node or to a peer.
     pub(super) fn note_answer(&mut self, now: MonotonicTime) {
         self.last_answer_at = Some(now);
     }
 
-    /// Age of the oldest word of another node that still counts.
+    /// Age of the oldest unexpired load report of a peer; zero if there is none.
     pub fn oldest_report_age(&self, now: MonotonicTime) -> Duration {
         let ages = self.peers.values().map(|(_, at)| now.since(*at));
         ages.filter(|age| *age < PEER_REPORT_TTL)
@@ -373,7 +374,8 @@
             .unwrap_or_default()
     }
 
-    /// Whether new work may go there now; one that is left alone for a while takes some only where `last_resort`.
+    /// Whether the engine may get new work. An engine that is unhealthy, cordoned or probably being reclaimed may get it
+    /// only if `last_resort` is set.
     pub(super) fn takes_work(&self, now: MonotonicTime, last_resort: bool) -> bool {
         !self.has_ended(now)
             && !self.engine.leaving
@@ -382,43 +384,43 @@
             && (last_resort || !(self.health.is_paused(now) || self.is_being_reclaimed(now)))
     }
 
-    /// Whether this start of the engine is over, beyond the doubt that its entry may only have lapsed.
+    /// Whether this start of the engine has ended; false while a removal is doubtful.
     pub(super) fn has_ended(&self, now: MonotonicTime) -> bool {
-        self.replaced || self.delisted.is_some_and(|gone| !gone.is_doubtful_at(now))
+        self.replaced || self.delisted.is_some_and(|removal| !removal.is_doubtful_at(now))
     }
 
-    /// The stage that it changes to, if it does.
+    /// Stage that the engine is changing to; `None` if there is no order or it has expired.
     pub fn ordered_stage(&self, now: MonotonicTime) -> Option<EngineStage> {
         let (stage, since) = self.stage_order?;
         (now.since(since) < STAGE_ORDER_TIMEOUT).then_some(stage)
     }
 
-    /// Whether another engine may fetch from it: it answers, even if it is about to leave.
+    /// Whether another engine may fetch KV cache from it, which a draining engine still allows.
     pub(super) fn can_be_fetched_from(&self, now: MonotonicTime) -> bool {
         self.is_listed() && !self.health.is_paused(now)
     }
 
-    /// Whether the engine is listed and about to leave.
-    pub fn is_about_to_leave(&self) -> bool {
+    /// Whether the engine is listed and drains.
+    pub fn is_draining(&self) -> bool {
         self.engine.leaving && self.is_listed()
     }
 
-    /// Whether the engine is neither gone nor about to leave.
-    pub fn stays(&self) -> bool {
+    /// Whether the engine is listed and does not drain.
+    pub fn is_active(&self) -> bool {
         !self.engine.leaving && self.is_listed()
     }
 
-    /// Whether the platform lists this start of the engine.
+    /// Whether the platform lists this start of the engine and no later one.
     pub fn is_listed(&self) -> bool {
         self.delisted.is_none() && !self.replaced
     }
 
-    /// Whether a later start of the engine is known, which would take what is meant for this one.
+    /// Whether a later start of the engine is known, which would receive requests meant for this one.
     pub fn has_later_start(&self) -> bool {
         self.replaced
     }
 
-    /// Whether a later start of the engine came, and this one had not said that it was about to leave.
+    /// Whether a later start of the engine is known although this one never announced that it drains.
     pub fn was_replaced_unannounced(&self) -> bool {
         self.replaced && !self.engine.leaving
     }
--- a/crates/core/src/routing/pool/limits.rs
+++ b/crates/core/src/routing/pool/limits.rs
@@ -133,7 +133,7 @@
         let alike = self
             .engines
             .values()
-            .filter(|other| other.engine.pool == *pool && other.engine.stage == stage && other.stays());
+            .filter(|other| other.engine.pool == *pool && other.engine.stage == stage && other.is_active());
         let falls_to_one = own * self.demand.all_to_own(now) / alike.count().max(1) as f64;
         if falls_to_one <= 0.0 {
             return 1.0;
--- a/crates/core/src/routing/pool/pace/pool_pace.rs
+++ b/crates/core/src/routing/pool/pace/pool_pace.rs
@@ -24,7 +24,7 @@
 const LEARNED_OUTPUTS: u32 = 20;
 
 /// Most by which one output counts as longer or shorter than expected.
-const LARGEST_FACTOR: f64 = 2.5;
+const MAX_OUTLIER_RATIO: f64 = 2.5;
 
 /// Share of its weight that an observation keeps in the centre of its kind when the next comes.
 const CENTRE_KEPT: f64 = 0.98;
@@ -136,7 +136,7 @@
         let usual = centre.with(0.0, CENTRE_WEIGHT);
         if ratio.is_finite() && ratio > 0.0 {
             let log = (ratio / lasting).ln();
-            let most = LARGEST_FACTOR.ln();
+            let most = MAX_OUTLIER_RATIO.ln();
             centre.add(CENTRE_KEPT, log.clamp(usual - most, usual + most));
         }
         ratio / usual.exp()
@@ -150,8 +150,8 @@
             return;
         }
         let bounded = token_seconds.clamp(
-            self.token_seconds / LARGEST_FACTOR,
-            self.token_seconds * LARGEST_FACTOR,
+            self.token_seconds / MAX_OUTLIER_RATIO,
+            self.token_seconds * MAX_OUTLIER_RATIO,
         );
         self.token_seconds += OUTPUT_SHARE * (bounded - self.token_seconds);
     }
--- a/crates/core/src/routing/pool/pace/router.rs
+++ b/crates/core/src/routing/pool/pace/router.rs
@@ -82,7 +82,7 @@
             return;
         };
         // A late word of an engine that is gone says nothing of those that stay, its own later start among them.
-        let Some(state) = self.engines.get_mut(engine).filter(|state| state.stays()) else {
+        let Some(state) = self.engines.get_mut(engine).filter(|state| state.is_active()) else {
             return;
         };
         let pool_pace = self.paces.entry(state.engine.pool.clone()).or_default();
@@ -168,24 +168,24 @@
         }
     }
 
-    /// Learns from an output that has ended, whose first event came at `begun_at`.
+    /// Learns from an output that has ended, whose first event came at `first_event_at`.
     pub(in crate::routing::pool) fn observe_output(
         &mut self,
         engine: &EngineId,
         work: &InFlightWork,
         now: MonotonicTime,
     ) {
-        let Some(begun_at) = work.begun_at else {
+        let Some(first_event_at) = work.first_event_at else {
             return;
         };
         let Some(state) = self.engines.get(engine) else {
             return;
         };
-        let took = now.since(begun_at);
+        let took = now.since(first_event_at);
         if !state.pace.in_use || work.output_tokens < LEAST_OUTPUT_TOKENS || took < LEAST_OUTPUT {
             return;
         }
-        let momentary = (work.momentary + state.pace.momentary_factor(now)) / 2.0;
+        let momentary = (work.momentary_pace + state.pace.momentary_factor(now)) / 2.0;
         let factor = momentary * state.pace.lasting.factor();
         let tokens = f64::from(work.output_tokens);
         let pool_pace = self.paces.entry(state.engine.pool.clone()).or_default();
@@ -217,7 +217,7 @@
     pub(in crate::routing::pool) fn mean_relative_speed(&self, pool: &PoolId) -> f64 {
         let engines = self.engines.values().filter(|state| state.engine.pool == *pool);
         let paces: Vec<f64> = engines
-            .filter(|state| state.pace.in_use && state.stays())
+            .filter(|state| state.pace.in_use && state.is_active())
             .map(|state| 1.0 / state.pace.usual_factor())
             .collect();
         if paces.is_empty() {
--- a/crates/core/src/routing/pool/pauses.rs
+++ b/crates/core/src/routing/pool/pauses.rs
@@ -30,7 +30,7 @@
 //! late by either with regard to the room, 0.152 without, 0.199 with pauses left alone; `docs/design/stream-pauses.md`).
 
 use super::engine::EngineLoad;
-use super::prefill_speed::{LARGEST_FACTOR, PrefillSpeed};
+use super::prefill_speed::{MAX_OUTLIER_RATIO, PrefillSpeed};
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
@@ -58,7 +58,7 @@
             self.seconds = Some(seconds);
             return;
         };
-        let most = mean.max(LEAST_PACE_SECONDS) * LARGEST_FACTOR;
+        let most = mean.max(LEAST_PACE_SECONDS) * MAX_OUTLIER_RATIO;
         self.seconds = Some(mean + PACE_SHARE * (seconds.min(most) - mean));
     }
 }
--- a/crates/core/src/routing/pool/peers.rs
+++ b/crates/core/src/routing/pool/peers.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other: their work, demand, orders, and what engines hold.
+//! Exchange between peers: load, demand, stage orders and the prefix blocks that engines hold.
 
 use super::beliefs::{PeerWork, PrefixNews, WorkSlice};
 use super::engine::EngineStage;
@@ -10,34 +10,34 @@
 use crate::roles::pool::{PoolDemand, PoolEngineView};
 use crate::time::MonotonicTime;
 
-/// Blocks in one piece of news, so that it fits into a datagram.
-const BLOCKS_IN_NEWS: usize = 16;
+/// Maximum number of prefix blocks in one update, so that an update fits into a datagram.
+const MAX_BLOCKS_PER_UPDATE: usize = 16;
 
 impl PoolRouter {
-    /// Takes another node's word of its work at a slice of the engines.
+    /// Applies a peer's report of its load at a slice of the engines.
     ///
-    /// `works` replaces everything that the node said of them before.
+    /// `loads` replaces everything that the peer reported for that slice before.
     pub fn on_peer_load(
         &mut self,
         peer: &NodeId,
         slice: WorkSlice,
-        works: &[(SubjectHandle, PeerWork)],
+        loads: &[(SubjectHandle, PeerWork)],
         now: MonotonicTime,
     ) {
-        let named: Vec<SubjectHandle> = works.iter().map(|(handle, _)| *handle).collect();
+        let reported: Vec<SubjectHandle> = loads.iter().map(|(handle, _)| *handle).collect();
         let before = self.named_by.entry(peer.clone()).or_default();
         let (dropped, kept): (Vec<_>, Vec<_>) = before
             .iter()
-            .filter(|handle| !named.contains(handle))
+            .filter(|handle| !reported.contains(handle))
             .partition(|handle| slice.includes(**handle));
-        *before = kept.into_iter().chain(named).collect();
+        *before = kept.into_iter().chain(reported).collect();
         for handle in dropped {
             if let Some(state) = self.state_of(handle) {
                 state.peers.remove(peer);
             }
         }
-        for (handle, work) in works {
-            // An engine that another node uses is one that this node's next request may meet there.
+        for (handle, work) in loads {
+            // This node's next request may be sent to an engine that a peer uses, so it has to know the engine's load.
             self.bring_into_use(*handle);
             if let Some(state) = self.state_of(*handle) {
                 state.peers.insert(peer.clone(), (*work, now));
@@ -48,7 +48,7 @@
         }
     }
 
-    /// This node's own work, as it is told to other nodes; engines without any are left out.
+    /// This node's own load in the form sent to peers; engines without in-flight requests of this node are omitted.
     pub fn own_load(&self) -> Vec<(SubjectHandle, PeerWork)> {
         self.engines
             .values()
@@ -57,8 +57,8 @@
             .collect()
     }
 
-    /// Notes that engines have been ordered to change their stage, here or by another node.
-    pub fn on_ordered(&mut self, orders: &[(SubjectHandle, EngineStage)], now: MonotonicTime) {
+    /// Records orders to change the stage of engines, given by this node or a peer.
+    pub fn on_stage_orders(&mut self, orders: &[(SubjectHandle, EngineStage)], now: MonotonicTime) {
         for (handle, stage) in orders {
             if let Some(state) = self.state_of(*handle)
                 && state.engine.stage != *stage
@@ -69,21 +69,21 @@
         }
     }
 
-    /// Notes that this node has ordered an engine to change its stage.
-    pub fn note_order(&mut self, engine: &EngineId, stage: EngineStage, now: MonotonicTime) {
+    /// Records an order of this node to change the stage of an engine.
+    pub fn record_stage_order(&mut self, engine: &EngineId, stage: EngineStage, now: MonotonicTime) {
         if let Some(state) = self.engines.get_mut(engine) {
             state.stage_order = Some((stage, now));
         }
     }
 
-    /// Notes that an engine is not about to change its stage after all.
-    pub fn forget_order(&mut self, engine: &EngineId) {
+    /// Removes the pending stage order of an engine.
+    pub fn clear_stage_order(&mut self, engine: &EngineId) {
         if let Some(state) = self.engines.get_mut(engine) {
             state.stage_order = None;
         }
     }
 
-    /// Changes of stage that are under way.
+    /// Stage orders that are neither carried out nor expired.
     pub fn pending_stage_orders(&self, now: MonotonicTime) -> Vec<(SubjectHandle, EngineStage)> {
         self.engines
             .values()
@@ -91,12 +91,11 @@
             .collect()
     }
 
-    /// What the planner of roles is told of a pool, with the demand that every node told of.
-    pub fn role_input(&self, pool: &PoolId, now: MonotonicTime) -> (Vec<PoolEngineView>, PoolDemand) {
-        let engines = self
-            .engines
-            .values()
-            .filter(|state| state.engine.pool == *pool && state.stays() && state.cordon_allows(now, false));
+    /// Input of the role planner for one pool: its engines, and the demand reported by all nodes.
+    pub fn role_planner_input(&self, pool: &PoolId, now: MonotonicTime) -> (Vec<PoolEngineView>, PoolDemand) {
+        let engines = self.engines.values().filter(|state| {
+            state.engine.pool == *pool && state.is_active() && state.cordon_allows(now, false)
+        });
         let views = engines.map(|state| {
             let work = state.load(now);
             PoolEngineView {
@@ -120,26 +119,26 @@
         (views.collect(), demand)
     }
 
-    /// This node's own demand, as it is told to other nodes.
+    /// Demand from this node's own requests, in prompt tokens per second.
     pub fn own_demand(&self, now: MonotonicTime) -> u32 {
         self.demand.own(now) as u32
     }
 
-    /// Takes another node's word of its demand.
+    /// Records the demand that a peer reports, in prompt tokens per second.
     pub fn on_peer_demand(&mut self, peer: &NodeId, tokens_per_second: u32, now: MonotonicTime) {
         self.demand.on_peer(peer, tokens_per_second, now);
     }
 
-    /// Takes another node's news of shared prefixes that engines hold.
-    pub fn on_prefix_updates(&mut self, news: &[PrefixNews], now: MonotonicTime) {
-        for one in news {
-            if let Some(state) = self.state_of(one.engine) {
-                if one.just_answered {
+    /// Applies a peer's updates about prefix blocks that engines hold.
+    pub fn on_prefix_updates(&mut self, updates: &[PrefixNews], now: MonotonicTime) {
+        for update in updates {
+            if let Some(state) = self.state_of(update.engine) {
+                if update.just_answered {
                     state.note_answer(now);
                 }
-                let returns = one.just_answered && state.health.answered_elsewhere(now);
-                state.prefixes.note_read(&one.prefixes, now);
-                let engine = returns.then(|| state.engine.id.clone());
+                let is_restored = update.just_answered && state.health.answered_elsewhere(now);
+                state.prefixes.note_read(&update.prefixes, now);
+                let engine = is_restored.then(|| state.engine.id.clone());
                 if let Some(engine) = engine {
                     self.note_engine_change(engine, None, true);
                 }
@@ -147,21 +146,21 @@
         }
     }
 
-    /// Takes what an engine says that it holds, and tells other nodes.
+    /// Applies the list of prefix blocks that an engine reports, and queues it for peers.
     pub fn on_prefix_list(&mut self, engine: &EngineId, held: &[PrefixBlock], now: MonotonicTime) {
         let Some(state) = self.engines.get_mut(engine) else {
             return;
         };
         state.prefixes.note_read(held, now);
-        let news = held.chunks(BLOCKS_IN_NEWS).map(|prefixes| PrefixNews {
+        let updates = held.chunks(MAX_BLOCKS_PER_UPDATE).map(|prefixes| PrefixNews {
             engine: state.handle,
             prefixes: prefixes.to_vec(),
             just_answered: false,
         });
-        self.prefix_updates.extend(news);
+        self.prefix_updates.extend(updates);
     }
 
-    /// Everything that engines are believed to hold, for a node that has just started.
+    /// All prefix blocks that engines are estimated to hold, for a node that has just started.
     pub fn prefix_snapshot(&self) -> Vec<PrefixNews> {
         self.engines
             .values()
@@ -174,11 +173,11 @@
             .collect()
     }
 
-    /// News of shared prefixes since the last call, for other nodes.
-    ///
-    /// At most `most` of them; the rest follows at the next call.
-    pub fn take_prefix_updates(&mut self, most: usize) -> Vec<PrefixNews> {
-        let rest = self.prefix_updates.split_off(most.min(self.prefix_updates.len()));
+    /// Takes up to `max_updates` queued prefix updates for peers; the rest stays queued.
+    pub fn take_prefix_updates(&mut self, max_updates: usize) -> Vec<PrefixNews> {
+        let rest = self
+            .prefix_updates
+            .split_off(max_updates.min(self.prefix_updates.len()));
         std::mem::replace(&mut self.prefix_updates, rest)
     }
 }
--- a/crates/core/src/routing/pool/pool_speeds.rs
+++ b/crates/core/src/routing/pool/pool_speeds.rs
@@ -1,83 +1,83 @@
-//! What a pool's engines were seen to take, by what they do.
+//! Measured durations of the stages of requests in one pool.
 
 use super::pauses::EventPace;
-use super::prefill_speed::{LARGEST_FACTOR, PrefillSpeed};
+use super::prefill_speed::{MAX_OUTLIER_RATIO, PrefillSpeed};
 use super::running_stats::{EstimateError, PrefillPauses, RejectionRate};
 use std::time::Duration;
 
-/// Share of a new observation in the running mean of hand-overs.
-const HAND_OVER_SHARE: f64 = 0.1;
+/// Weight of a new observation in the moving averages.
+const OBSERVATION_WEIGHT: f64 = 0.1;
 
-/// Hand-over that is assumed at the start, in seconds.
-const ASSUMED_HAND_OVER_SECONDS: f64 = 0.020;
+/// Initial estimate of the handoff duration, in seconds.
+const INITIAL_HANDOFF_SECONDS: f64 = 0.020;
 
-/// Least value that the running means are limited from, in seconds.
-const LEAST_FOLLOWED_SECONDS: f64 = 0.010;
+/// Minimum of the base to which `MAX_OUTLIER_RATIO` applies, in seconds.
+const MIN_OUTLIER_BASE_SECONDS: f64 = 0.010;
 
-/// Moves a running mean towards an observation that counts for no more than a bounded factor of it.
-fn follow(mean: &mut f64, observed: f64) {
-    let most = mean.max(LEAST_FOLLOWED_SECONDS) * LARGEST_FACTOR;
-    *mean += HAND_OVER_SHARE * (observed.min(most) - *mean);
+/// Updates a moving average with an observation, clamped to a maximum ratio to the average.
+fn update_average(mean: &mut f64, observed: f64) {
+    let max = mean.max(MIN_OUTLIER_BASE_SECONDS) * MAX_OUTLIER_RATIO;
+    *mean += OBSERVATION_WEIGHT * (observed.min(max) - *mean);
 }
 
-/// Wait for a place at a full engine that is assumed at the start, in seconds.
-const ASSUMED_PLACE_WAIT_SECONDS: f64 = 0.100;
+/// Initial estimate of the queueing time at a full engine, in seconds.
+const INITIAL_QUEUE_WAIT_SECONDS: f64 = 0.100;
 
-/// Part of the speed that is assumed to be left for what goes behind everything else.
-const ASSUMED_LATE_PACE: f64 = 0.5;
+/// Initial prefill speed of requests of the lowest rank, relative to other requests.
+const INITIAL_LATE_SPEED_RATIO: f64 = 0.5;
 
-/// What a pool's engines were seen to take, by what they do.
+/// Measured durations and statistics of one pool, which the estimates of new requests use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PoolSpeeds {
-    /// Reading at an engine that reads prompts, until it was done.
+    /// Prefill at prefill engines, until it is done.
     pub prefill: PrefillSpeed,
-    /// Reading at an engine that runs outputs, until the first event.
+    /// Prefill at decode engines, until the first output event.
     pub decode: PrefillSpeed,
-    /// Reading behind everything that can be in time, until it was done.
+    /// Prefill of requests of the lowest rank, which run after all that can still be in time.
     pub late: PrefillSpeed,
-    /// From the dispatch of an output whose prompt another engine has read to its first event, in seconds, where a
-    /// place was free.
+    /// Mean time in seconds from a decode dispatch after a prefill at another engine to its first event, if the engine was
+    /// not full.
     pub handoff_seconds: f64,
-    /// The same on top where none was free.
+    /// Mean additional time in seconds if the engine was full.
     pub queue_wait_seconds: f64,
-    /// By how much first events exceed what was expected.
-    pub error: EstimateError,
-    /// What outputs suffer from reading beside them.
+    /// Ratio of actual to estimated time until the first event.
+    pub estimate_error: EstimateError,
+    /// Gaps between output events at engines with concurrent prefill.
     pub pauses: PrefillPauses,
-    /// Time between two events of an output where nothing is read beside it, at a usual engine.
+    /// Time between two events of an output at an engine of average speed without concurrent prefill.
     pub pace: EventPace,
-    /// How many requests could not be in time.
+    /// Share of requests that could not meet their deadline.
     pub rejection_rate: RejectionRate,
 }
 
 impl PoolSpeeds {
-    /// Begins with the assumed speed of an engine that reads prompts, in tokens per second, and the assumed pace of
-    /// one that runs outputs, relative to it.
-    pub fn assumed(tokens_per_second: f64, decode_pace: f64) -> Self {
+    /// Creates the initial estimates from the speed of a prefill engine in tokens per second and the relative prefill
+    /// speed of a decode engine.
+    pub fn with_initial_speed(tokens_per_second: f64, decode_speed_ratio: f64) -> Self {
         Self {
-            prefill: PrefillSpeed::assumed(tokens_per_second),
-            decode: PrefillSpeed::assumed(tokens_per_second * decode_pace),
-            late: PrefillSpeed::assumed(tokens_per_second * ASSUMED_LATE_PACE),
-            handoff_seconds: ASSUMED_HAND_OVER_SECONDS,
-            queue_wait_seconds: ASSUMED_PLACE_WAIT_SECONDS,
-            error: EstimateError::default(),
+            prefill: PrefillSpeed::with_initial_speed(tokens_per_second),
+            decode: PrefillSpeed::with_initial_speed(tokens_per_second * decode_speed_ratio),
+            late: PrefillSpeed::with_initial_speed(tokens_per_second * INITIAL_LATE_SPEED_RATIO),
+            handoff_seconds: INITIAL_HANDOFF_SECONDS,
+            queue_wait_seconds: INITIAL_QUEUE_WAIT_SECONDS,
+            estimate_error: EstimateError::default(),
             pauses: PrefillPauses::default(),
             pace: EventPace::default(),
             rejection_rate: RejectionRate::default(),
         }
     }
 
-    /// Takes how long a hand-over took, and whether a place was free for it.
+    /// Records the duration of a handoff, and whether the engine had a free slot for it.
     pub fn observe_handoff(&mut self, took: Duration, had_free_slot: bool) {
         if had_free_slot {
-            follow(&mut self.handoff_seconds, took.as_secs_f64());
+            update_average(&mut self.handoff_seconds, took.as_secs_f64());
         } else {
             let wait = (took.as_secs_f64() - self.handoff_seconds).max(0.0);
-            follow(&mut self.queue_wait_seconds, wait);
+            update_average(&mut self.queue_wait_seconds, wait);
         }
     }
 
-    /// Seconds that an output waits before it begins, at an engine with or without a free place.
+    /// Estimated queueing time of an output, in seconds.
     pub fn queue_wait(&self, has_free_slot: bool) -> f64 {
         if has_free_slot {
             0.0
--- a/crates/core/src/routing/pool/prefill_speed.rs
+++ b/crates/core/src/routing/pool/prefill_speed.rs
@@ -1,37 +1,38 @@
-//! How long engines take to read prompts, learned from readings.
+//! Estimates prefill duration from the prompt tokens to process, fitted to recent observations.
 
 use std::time::Duration;
 
-/// Share of its weight that a reading keeps when the next one comes.
-const KEPT: f64 = 0.97;
+/// Factor by which the weight of older observations decays with each new one.
+const DECAY: f64 = 0.97;
 
-/// Weight of the assumption that stands in for readings at the start.
-const ASSUMED_WEIGHT: f64 = 2.0;
+/// Weight of the initial estimate, in observations.
+const INITIAL_WEIGHT: f64 = 2.0;
 
-/// Most by which one reading counts as longer or shorter than it was expected, so that a lost packet or a wrong belief
-/// moves the line little while a lasting change still gets through.
-pub(super) const LARGEST_FACTOR: f64 = 2.5;
+/// Maximum ratio between an observation and its expected value, in either direction. Observations beyond it are clamped, so
+/// that an outlier has little effect while a lasting change is still followed.
+pub(super) const MAX_OUTLIER_RATIO: f64 = 2.5;
 
-/// Spread of the readings' tokens, as part of their mean, below which they don't tell the fixed part from the rest.
-const LEAST_SPREAD: f64 = 0.25;
+/// Minimum standard deviation of the token counts, relative to their mean, at which both parameters are fitted. Below it,
+/// the fixed part cannot be told from the time per token.
+const MIN_RELATIVE_DEVIATION: f64 = 0.25;
 
-/// Readings from which the line is theirs.
-const LEARNED_READINGS: u32 = 20;
+/// Minimum number of observations before the estimate counts as learned.
+const MIN_LEARNED_OBSERVATIONS: u32 = 20;
 
-/// Fixed part of a reading that is assumed at the start, in seconds.
-const ASSUMED_FIXED_SECONDS: f64 = 0.010;
+/// Initial estimate of the fixed part of a prefill, in seconds.
+const INITIAL_FIXED_SECONDS: f64 = 0.010;
 
-/// Tokens of the reading that the assumption stands for.
-const ASSUMED_TOKENS: f64 = 5_000.0;
+/// Token count of the observation that stands for the initial estimate.
+const INITIAL_TOKENS: f64 = 5_000.0;
 
-/// Shortest time that a token is believed to take, in seconds.
-const LEAST_SECONDS_PER_TOKEN: f64 = 1e-8;
+/// Minimum estimated time per token, in seconds.
+const MIN_SECONDS_PER_TOKEN: f64 = 1e-8;
 
-/// A straight line through recent readings: seconds until a prompt was read over the tokens that had to be read until
-/// then, those of other prompts before it among them.
+/// Linear model of the time until a prompt is prefilled, as a function of the tokens to prefill until then, including
+/// those of prompts ahead in the queue.
 ///
-/// Least squares with weights that fade from reading to reading; no reading counts for more than a bounded factor of
-/// what was expected.
+/// Fitted by weighted least squares; the weight of an observation decays exponentially with each later one, and outliers
+/// are clamped relative to the current estimate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PrefillSpeed {
     fixed_seconds: f64,
@@ -41,58 +42,58 @@
     seconds: f64,
     tokens_squared: f64,
     tokens_seconds: f64,
-    readings: u32,
+    observations: u32,
 }
 
 impl PrefillSpeed {
-    /// Begins with an assumption, in tokens per second.
-    pub fn assumed(tokens_per_second: f64) -> Self {
+    /// Creates an estimate with an initial speed in tokens per second.
+    pub fn with_initial_speed(tokens_per_second: f64) -> Self {
         let seconds_per_token = 1.0 / tokens_per_second;
-        let seconds = ASSUMED_FIXED_SECONDS + ASSUMED_TOKENS * seconds_per_token;
+        let seconds = INITIAL_FIXED_SECONDS + INITIAL_TOKENS * seconds_per_token;
         Self {
-            fixed_seconds: ASSUMED_FIXED_SECONDS,
+            fixed_seconds: INITIAL_FIXED_SECONDS,
             seconds_per_token,
-            weight: ASSUMED_WEIGHT,
-            tokens: ASSUMED_WEIGHT * ASSUMED_TOKENS,
-            seconds: ASSUMED_WEIGHT * seconds,
-            tokens_squared: ASSUMED_WEIGHT * ASSUMED_TOKENS * ASSUMED_TOKENS,
-            tokens_seconds: ASSUMED_WEIGHT * ASSUMED_TOKENS * seconds,
-            readings: 0,
+            weight: INITIAL_WEIGHT,
+            tokens: INITIAL_WEIGHT * INITIAL_TOKENS,
+            seconds: INITIAL_WEIGHT * seconds,
+            tokens_squared: INITIAL_WEIGHT * INITIAL_TOKENS * INITIAL_TOKENS,
+            tokens_seconds: INITIAL_WEIGHT * INITIAL_TOKENS * seconds,
+            observations: 0,
         }
     }
 
-    /// Whether enough readings were seen for the line to be theirs and not the assumption's.
+    /// Whether there were enough observations for the estimate not to depend on the initial speed.
     pub fn is_learned(&self) -> bool {
-        self.readings >= LEARNED_READINGS
+        self.observations >= MIN_LEARNED_OBSERVATIONS
     }
 
-    /// Tokens that are read in a second while there is always something to read.
+    /// Throughput under continuous load, in tokens per second.
     pub fn tokens_per_second(&self) -> f64 {
         1.0 / self.seconds_per_token
     }
 
-    /// Seconds that a reading takes beside its tokens.
+    /// Part of the time that does not depend on the token count, in seconds.
     pub fn fixed_seconds(&self) -> f64 {
         self.fixed_seconds
     }
 
-    /// Seconds until a prompt is read when so many tokens are to be read until then.
+    /// Estimated time to prefill a number of tokens, in seconds.
     pub fn seconds(&self, tokens: f64) -> f64 {
         self.fixed_seconds + tokens * self.seconds_per_token
     }
 
-    /// Takes one reading: the tokens to be read until it was done, and the time that passed.
+    /// Records one prefill: the tokens processed until it was done, and the elapsed time.
     pub fn observe(&mut self, tokens: f64, took: Duration) {
         let expected = self.seconds(tokens);
         let seconds = took
             .as_secs_f64()
-            .clamp(expected / LARGEST_FACTOR, expected * LARGEST_FACTOR);
-        self.readings = self.readings.saturating_add(1);
-        self.weight = self.weight * KEPT + 1.0;
-        self.tokens = self.tokens * KEPT + tokens;
-        self.seconds = self.seconds * KEPT + seconds;
-        self.tokens_squared = self.tokens_squared * KEPT + tokens * tokens;
-        self.tokens_seconds = self.tokens_seconds * KEPT + tokens * seconds;
+            .clamp(expected / MAX_OUTLIER_RATIO, expected * MAX_OUTLIER_RATIO);
+        self.observations = self.observations.saturating_add(1);
+        self.weight = self.weight * DECAY + 1.0;
+        self.tokens = self.tokens * DECAY + tokens;
+        self.seconds = self.seconds * DECAY + seconds;
+        self.tokens_squared = self.tokens_squared * DECAY + tokens * tokens;
+        self.tokens_seconds = self.tokens_seconds * DECAY + tokens * seconds;
         self.fit();
     }
 
@@ -103,15 +104,15 @@
             return;
         }
         let variance = (self.tokens_squared / self.weight - mean_tokens * mean_tokens).max(0.0);
-        if variance.sqrt() >= LEAST_SPREAD * mean_tokens {
+        if variance.sqrt() >= MIN_RELATIVE_DEVIATION * mean_tokens {
             let covariance = self.tokens_seconds / self.weight - mean_tokens * mean_seconds;
             self.seconds_per_token = covariance / variance;
         } else {
             self.seconds_per_token = (mean_seconds - self.fixed_seconds) / mean_tokens;
         }
-        let most = (mean_seconds / mean_tokens).max(LEAST_SECONDS_PER_TOKEN);
-        self.seconds_per_token = self.seconds_per_token.clamp(LEAST_SECONDS_PER_TOKEN, most);
-        // Where the line passes through nothing, rounding may leave less than that.
+        let max = (mean_seconds / mean_tokens).max(MIN_SECONDS_PER_TOKEN);
+        self.seconds_per_token = self.seconds_per_token.clamp(MIN_SECONDS_PER_TOKEN, max);
+        // Rounding errors may make an intercept of zero slightly negative.
         self.fixed_seconds = (mean_seconds - mean_tokens * self.seconds_per_token).max(0.0);
     }
 }
--- a/crates/core/src/routing/pool/recent_changes.rs
+++ b/crates/core/src/routing/pool/recent_changes.rs
@@ -1,7 +1,7 @@
-//! The newest changes of the list of engines, as one node tells them to others.
+//! Recent changes of the engine list, which a node publishes to its peers.
 //!
-//! Only a node that has a change from the store tells it, for a short time: its messages reach the whole fleet, and
-//! one that misses all of them asks the store.
+//! Only a node that received a change from the store publishes it, and only for a short time. Its messages reach the
+//! whole fleet; a node that misses all of them reads the changes from the store.
 
 use super::listing::{EngineListing, ListChange};
 use crate::time::MonotonicTime;
@@ -9,20 +9,20 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Time for which a change is told.
-const TOLD_FOR: Duration = Duration::from_millis(700);
+/// Time for which a change is published after its receipt.
+const PUBLISH_DURATION: Duration = Duration::from_millis(700);
 
-/// Changes of the list between two versions of the store.
+/// Consecutive changes of the engine list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListUpdate {
-    /// A node that reflects less than this version lacks more than these changes.
+    /// Version that a node's list must reflect for the changes to apply without a gap.
     pub base: u64,
-    /// The changes in order, each with its version.
+    /// Changes in ascending order, each with its store version.
     pub changes: Vec<(u64, ListChange)>,
 }
 
 impl ListUpdate {
-    /// Takes the changes into a list that reflects everything before them; returns those that are new.
+    /// Applies the changes to a list and returns those that were new to it; applies none if the list lacks earlier changes.
     pub fn apply_to(self, listing: &mut EngineListing) -> Vec<ListChange> {
         match self.changes.last().map(|(version, _)| *version) {
             Some(last) if listing.reflected_version() >= self.base => listing.apply(self.changes, last),
@@ -31,7 +31,7 @@
     }
 }
 
-/// The newest changes that the store told this node.
+/// Recent changes that this node received from the store.
 #[derive(Clone, Debug, Default)]
 pub struct RecentChanges {
     base: u64,
@@ -39,11 +39,11 @@
 }
 
 impl RecentChanges {
-    /// Notes changes that the store told after version `after`, before they are taken into `listing`.
+    /// Records changes that the store returned for versions above `after`, before they are applied to `listing`.
     ///
-    /// The store counts every write, so a node may lack nothing though it reflects a much lower version: what counts is
-    /// the version of the last change of the list.
-    pub fn note(
+    /// The store increments its version on every write, including writes that do not change the engine list. So the base of
+    /// the update is the version of the last change of the list, which a complete list always reflects.
+    pub fn record(
         &mut self,
         listing: &EngineListing,
         after: u64,
@@ -51,7 +51,7 @@
         now: MonotonicTime,
     ) {
         if listing.reflected_version() > after {
-            // Another node was faster; what it told is not told again, and these may not follow on what was.
+            // A peer has already published some of these changes, so they may not be contiguous with those recorded here.
             return self.reset();
         }
         if self.changes.is_empty() {
@@ -62,19 +62,19 @@
         }
     }
 
-    /// Forgets everything: the list has become one that these changes do not lead to.
+    /// Discards all changes; called when the list is replaced and the changes no longer lead up to it.
     pub fn reset(&mut self) {
         self.changes.clear();
     }
 
-    /// What is told to others now: the newest changes, at most so many.
-    pub fn told(&mut self, most: usize, now: MonotonicTime) -> ListUpdate {
-        let is_old = |at: MonotonicTime| now.since(at) >= TOLD_FOR;
-        while self.changes.front().is_some_and(|(at, _, _)| is_old(*at)) {
-            self.drop_first();
+    /// Returns up to `max_changes` of the newest unexpired changes, and discards all others.
+    pub fn publishable(&mut self, max_changes: usize, now: MonotonicTime) -> ListUpdate {
+        let is_expired = |at: MonotonicTime| now.since(at) >= PUBLISH_DURATION;
+        while self.changes.front().is_some_and(|(at, _, _)| is_expired(*at)) {
+            self.drop_oldest();
         }
-        while self.changes.len() > most {
-            self.drop_first();
+        while self.changes.len() > max_changes {
+            self.drop_oldest();
         }
         ListUpdate {
             base: self.base,
@@ -86,7 +86,7 @@
         }
     }
 
-    fn drop_first(&mut self) {
+    fn drop_oldest(&mut self) {
         if let Some((_, version, _)) = self.changes.pop_front() {
             self.base = version;
         }
--- a/crates/core/src/routing/pool/reclaims.rs
+++ b/crates/core/src/routing/pool/reclaims.rs
@@ -1,4 +1,4 @@
-//! Spot engines that are about to be taken away with the others of their zone.
+//! Detects zones that reclaim spot engines, so that the remaining spot engines of the zone are avoided.
 
 use super::engine::EngineState;
 use super::router::PoolRouter;
@@ -9,46 +9,46 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time for which an engine is left alone whose zone takes its spot engines back, until the list shows that it leaves too:
-/// engines say so with their next heartbeat, up to 1.2 s later. What is sent to it meanwhile may be cut off.
-const SHOWS_WITHIN: Duration = Duration::from_millis(3_000);
+/// Time for which a spot engine is avoided after its zone was seen reclaiming spot engines. The list shows that the engine
+/// drains after its next heartbeat, up to 1.2 s later; requests sent before may be interrupted.
+const RECLAIM_AVOIDANCE_DURATION: Duration = Duration::from_millis(3_000);
 
 impl PoolRouter {
-    /// Leaves the spot engines of zones alone that take theirs back; to be told after each change of the list. True where
-    /// a zone has just begun to.
+    /// Marks the spot engines of zones that are being reclaimed as avoided; call it after each change of the engine list.
+    /// Returns whether an engine was marked for the first time.
     pub fn update_reclaimed_zones(&mut self, now: MonotonicTime) -> bool {
-        let zones = self.zones_taken_back();
-        let mut has_begun = false;
-        for state in self.engines.values_mut().filter(|state| state.stays_as_spot()) {
+        let zones = self.spot_engines_by_zone();
+        let mut is_new = false;
+        for state in self.engines.values_mut().filter(|state| state.is_active_spot()) {
             let zone = (state.engine.pool.clone(), state.engine.zone.clone());
             if zones.get(&zone).is_some_and(|zone| zone.are_taken_back()) {
-                has_begun |= state.reclaim_seen_at.is_none();
+                is_new |= state.reclaim_seen_at.is_none();
                 state.reclaim_seen_at = Some(now);
             }
         }
-        has_begun
+        is_new
     }
 
-    fn zones_taken_back(&self) -> BTreeMap<(PoolId, ZoneId), LeavingEngines> {
+    fn spot_engines_by_zone(&self) -> BTreeMap<(PoolId, ZoneId), LeavingEngines> {
         let mut zones: BTreeMap<(PoolId, ZoneId), LeavingEngines> = BTreeMap::new();
         for state in self.engines.values().filter(|state| state.engine.spot) {
             let zone = (state.engine.pool.clone(), state.engine.zone.clone());
             let counts = zones.entry(zone).or_default();
-            counts.leaving += u32::from(state.is_about_to_leave());
-            counts.staying += u32::from(state.stays());
+            counts.leaving += u32::from(state.is_draining());
+            counts.staying += u32::from(state.is_active());
         }
         zones
     }
 }
 
 impl EngineState {
-    fn stays_as_spot(&self) -> bool {
-        self.engine.spot && self.stays()
+    fn is_active_spot(&self) -> bool {
+        self.engine.spot && self.is_active()
     }
 
-    /// Whether its zone takes spot engines back, and its own leaving may only not be listed yet.
+    /// Whether the zone reclaims its spot engines, so that this one may be drained although the list does not show it yet.
     pub(super) fn is_being_reclaimed(&self, now: MonotonicTime) -> bool {
         self.reclaim_seen_at
-            .is_some_and(|at| now.since(at) < SHOWS_WITHIN)
+            .is_some_and(|at| now.since(at) < RECLAIM_AVOIDANCE_DURATION)
     }
 }
--- a/crates/core/src/routing/pool/router.rs
+++ b/crates/core/src/routing/pool/router.rs
@@ -123,7 +123,7 @@
         self.engines.retain(|_, state| {
             state
                 .delisted
-                .is_none_or(|gone| now.since(gone.since) < DELISTED_RETENTION)
+                .is_none_or(|removal| now.since(removal.since) < DELISTED_RETENTION)
         });
         let engines = &self.engines;
         self.engine_of.retain(|_, engine| engines.contains_key(engine));
@@ -134,7 +134,7 @@
     /// that were known.
     pub fn on_entry_unreadable(&mut self, entry: &EngineId, now: MonotonicTime) -> Vec<EngineId> {
         let starts = self.starts_of(entry.as_str()).map(|state| {
-            let since = state.delisted.map_or(now, |gone| gone.since);
+            let since = state.delisted.map_or(now, |removal| removal.since);
             state.delisted = Some(Delisted {
                 since,
                 doubtful: false,
@@ -162,7 +162,7 @@
     }
 
     pub(super) fn assumed_speeds(&self) -> PoolSpeeds {
-        PoolSpeeds::assumed(
+        PoolSpeeds::with_initial_speed(
             self.weights.assumed_prompt_tokens_per_second,
             self.weights.decode_reading_pace,
         )
--- a/crates/core/src/routing/pool/running_stats.rs
+++ b/crates/core/src/routing/pool/running_stats.rs
@@ -1,135 +1,136 @@
-//! How far what was expected can be relied on: errors, pauses and requests turned away, followed step by step.
+//! Running statistics of estimate errors, output pauses and rejected requests.
 
 use std::time::Duration;
 
-/// Step by which a factor follows what is seen.
-const ERROR_STEP: f64 = 0.02;
+/// Step size by which a quantile estimate moves with each observation.
+const QUANTILE_STEP: f64 = 0.02;
 
-/// Bounds of a factor.
-const ERROR_BOUNDS: (f64, f64) = (0.3, 4.0);
+/// Minimum and maximum of a quantile estimate.
+const QUANTILE_BOUNDS: (f64, f64) = (0.3, 4.0);
 
-/// Added to what was expected and to what was seen before they are compared, in seconds, so that a short time that was
-/// a little longer does not count as a large error.
-const ERROR_FLOOR_SECONDS: f64 = 0.020;
+/// Added to the expected and the actual duration before they are compared, in seconds, so that a small absolute error of a
+/// short duration does not count as a large relative error.
+const ERROR_OFFSET_SECONDS: f64 = 0.020;
 
-/// Part of the first events that come within the expected time by the hopeful factor.
-const HOPEFUL: f64 = 0.2;
+/// Quantile that the optimistic estimate tracks.
+const OPTIMISTIC_QUANTILE: f64 = 0.2;
 
-/// Part of the first events that come within the expected time by the careful factor.
-const CAREFUL: f64 = 0.65;
+/// Quantile that the conservative estimate tracks.
+const CONSERVATIVE_QUANTILE: f64 = 0.65;
 
-/// A factor below which a given part of what is seen lies, followed step by step.
+/// Running estimate of a quantile, updated by a fixed step with each observation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Quantile {
-    part: f64,
-    factor: f64,
+    quantile: f64,
+    value: f64,
 }
 
 impl Quantile {
-    fn new(part: f64) -> Self {
-        Self { part, factor: 1.0 }
+    fn new(quantile: f64) -> Self {
+        Self { quantile, value: 1.0 }
     }
 
-    fn observe(&mut self, ratio: f64) {
-        let step = if ratio > self.factor {
-            self.part
+    fn observe(&mut self, observation: f64) {
+        let step = if observation > self.value {
+            self.quantile
         } else {
-            self.part - 1.0
+            self.quantile - 1.0
         };
-        let (least, most) = ERROR_BOUNDS;
-        self.factor = (self.factor + ERROR_STEP * step).clamp(least, most);
+        let (min, max) = QUANTILE_BOUNDS;
+        self.value = (self.value + QUANTILE_STEP * step).clamp(min, max);
     }
 }
 
-/// The factor by which first events exceed what was expected of them, at two quantiles.
+/// Ratio of actual to expected time until the first event, estimated at two quantiles.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EstimateError {
-    hopeful: Quantile,
-    careful: Quantile,
+    optimistic: Quantile,
+    conservative: Quantile,
 }
 
 impl Default for EstimateError {
     fn default() -> Self {
         Self {
-            hopeful: Quantile::new(HOPEFUL),
-            careful: Quantile::new(CAREFUL),
+            optimistic: Quantile::new(OPTIMISTIC_QUANTILE),
+            conservative: Quantile::new(CONSERVATIVE_QUANTILE),
         }
     }
 }
 
 impl EstimateError {
-    /// The factor that decides, from the hopeful one at a care of zero to the careful one at one.
-    pub fn factor(&self, care: f64) -> f64 {
-        let careful = self.careful.factor.max(self.hopeful.factor);
-        self.hopeful.factor + care.clamp(0.0, 1.0) * (careful - self.hopeful.factor)
+    /// Error factor, interpolated from the optimistic estimate at a caution of zero to the conservative one at one.
+    pub fn factor(&self, caution: f64) -> f64 {
+        let conservative = self.conservative.value.max(self.optimistic.value);
+        self.optimistic.value + caution.clamp(0.0, 1.0) * (conservative - self.optimistic.value)
     }
 
-    /// Takes one first event.
+    /// Records one first event.
     pub fn observe(&mut self, expected: Duration, took: Duration) {
         let ratio =
-            (took.as_secs_f64() + ERROR_FLOOR_SECONDS) / (expected.as_secs_f64() + ERROR_FLOOR_SECONDS);
-        self.hopeful.observe(ratio);
-        self.careful.observe(ratio);
+            (took.as_secs_f64() + ERROR_OFFSET_SECONDS) / (expected.as_secs_f64() + ERROR_OFFSET_SECONDS);
+        self.optimistic.observe(ratio);
+        self.conservative.observe(ratio);
     }
 }
 
-/// Quantile of the pauses between events that is followed.
+/// Quantile of the pauses between events that is tracked.
 const PAUSE_QUANTILE: f64 = 0.8;
 
-/// Part of the longest harmless pause that is assumed at the start.
-const ASSUMED_PAUSE: f64 = 0.5;
+/// Initial estimate, as a fraction of the maximum tolerated pause.
+const INITIAL_PAUSE_FRACTION: f64 = 0.5;
 
-/// Part of the longest harmless pause up to which an output has room to spare.
-const CALM_PAUSE: f64 = 0.4;
+/// Fraction of the maximum tolerated pause up to which the harm is zero.
+const MIN_HARMFUL_PAUSE_FRACTION: f64 = 0.4;
 
-/// Part of the longest harmless pause from which outputs come late.
-const FULL_PAUSE: f64 = 0.9;
+/// Fraction of the maximum tolerated pause from which the harm is one.
+const MAX_HARM_PAUSE_FRACTION: f64 = 0.9;
 
-/// How near the pauses between an output's events come to the longest that is harmless, at engines that read prompts
-/// beside it.
+/// Pauses between output events at engines with concurrent prefill, as a fraction of the maximum tolerated pause.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PrefillPauses {
-    part: Quantile,
+    fraction: Quantile,
 }
 
 impl Default for PrefillPauses {
     fn default() -> Self {
-        let mut part = Quantile::new(PAUSE_QUANTILE);
-        part.factor = ASSUMED_PAUSE;
-        Self { part }
+        let mut fraction = Quantile::new(PAUSE_QUANTILE);
+        fraction.value = INITIAL_PAUSE_FRACTION;
+        Self { fraction }
     }
 }
 
 impl PrefillPauses {
-    /// Takes one pause, as part of the longest harmless one.
-    pub fn observe(&mut self, part: f64) {
-        self.part.observe(part);
+    /// Records one pause, as a fraction of the maximum tolerated pause.
+    pub fn observe(&mut self, fraction: f64) {
+        self.fraction.observe(fraction);
     }
 
-    /// From zero, where outputs have room to spare, to one, where they come late.
+    /// Harm of concurrent prefill to outputs, from zero (pauses well below the maximum) to one (outputs are late).
     pub fn harm(&self) -> f64 {
-        ((self.part.factor - CALM_PAUSE) / (FULL_PAUSE - CALM_PAUSE)).clamp(0.0, 1.0)
+        ((self.fraction.value - MIN_HARMFUL_PAUSE_FRACTION)
+            / (MAX_HARM_PAUSE_FRACTION - MIN_HARMFUL_PAUSE_FRACTION))
+            .clamp(0.0, 1.0)
     }
 }
 
-/// Weight of one request in the share of those turned away.
-const TURNED_AWAY_STEP: f64 = 0.05;
+/// Weight of a new request in the moving average.
+const REJECTION_WEIGHT: f64 = 0.05;
 
-/// Share of the requests that were turned away of late.
+/// Moving average of the share of requests that could not meet their deadline.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RejectionRate {
     share: f64,
 }
 
 impl RejectionRate {
-    /// The share.
+    /// Share from zero to one.
     pub fn share(&self) -> f64 {
         self.share
     }
 
-    /// Takes one request.
-    pub fn observe(&mut self, turned_away: bool) {
-        let value = if turned_away { 1.0 } else { 0.0 };
-        self.share += TURNED_AWAY_STEP * (value - self.share);
+    /// Records one request.
+    pub fn observe(&mut self, is_rejected: bool) {
+        let value = if is_rejected { 1.0 } else { 0.0 };
+        self.share += REJECTION_WEIGHT * (value - self.share);
     }
 }
--- a/crates/core/src/routing/pool/signals.rs
+++ b/crates/core/src/routing/pool/signals.rs
@@ -1,4 +1,4 @@
-//! What engines said of themselves in their answers, as the router knows it.
+//! Effect of engine signals, such as drain and backoff, on routing.
 
 use super::engine::{EngineStage, EngineState};
 use super::query::PoolQuery;
@@ -10,20 +10,20 @@
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// Why no request is sent to an engine, also where another node chose it.
+/// Reason why this node sends no request to an engine, even if another node selected the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotAccepting {
-    /// It drains, by its own answers or by the list.
+    /// The engine drains, according to its responses or to the engine list.
     Draining,
-    /// It asked this node to back off, for so long still.
+    /// The engine requested a backoff from this node that has not ended.
     BackedOff {
-        /// Time until it takes requests again.
+        /// Time until the backoff ends.
         remaining: Duration,
     },
 }
 
 impl NotAccepting {
-    /// Name for logs and metrics.
+    /// Name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Draining => "draining",
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Time for which it lasts, as far as is known.
+    /// Remaining time of a backoff; `None` for a drain, which has no known end.
     pub fn remaining(self) -> Option<Duration> {
         match self {
             Self::Draining => None,
@@ -41,13 +41,13 @@
 }
 
 impl EngineState {
-    /// Time until this node may send there again; zero where the engine asked for no backoff, or its end has passed.
+    /// Remaining time of the engine's backoff; zero if the engine requested none or it has ended.
     pub fn remaining_backoff(&self, now: MonotonicTime) -> Duration {
         self.backoff_end.map_or(Duration::ZERO, |end| end.since(now))
     }
 
-    /// Whether a request that this node sends may go there as far as a backoff is concerned, by a number drawn for both: none
-    /// before its end, and few at first after it.
+    /// Whether the engine's backoff allows a request of this node. Allows none before its end and a growing share after it,
+    /// selected by the query's random draw and the engine's handle. Queries of other nodes are always allowed.
     pub(super) fn backoff_admits(&self, query: &PoolQuery<'_>, now: MonotonicTime) -> bool {
         let Some(end) = self.backoff_end.filter(|_| query.from_this_node) else {
             return true;
@@ -58,7 +58,7 @@
 }
 
 impl PoolRouter {
-    /// Notes that an engine drains; whether that is new. Its capacity counts as gone at once.
+    /// Records that an engine drains, and returns whether that is new. Its capacity is removed at once.
     pub fn on_draining(&mut self, engine: SubjectHandle) -> bool {
         if !self.signals.note_draining(engine) {
             return false;
@@ -70,7 +70,7 @@
         true
     }
 
-    /// Notes that an engine has refused another node for want of room.
+    /// Records a peer's report that an engine refused a request.
     pub fn on_refused_at_peer(
         &mut self,
         engine: SubjectHandle,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Notes that an engine wants no requests from this node for a time; the end of its backoff.
+    /// Records that an engine requested a backoff from this node, and returns when the backoff ends.
     pub fn on_backoff_requested(
         &mut self,
         engine: &EngineId,
@@ -98,13 +98,14 @@
         end
     }
 
-    /// Engines that this node backs off from, for a placer that chooses for it; at most so many.
-    pub fn backed_off(&self, most: usize, now: MonotonicTime) -> Vec<SubjectHandle> {
-        self.signals.backed_off(now).take(most).collect()
+    /// Up to `max_engines` engines that have requested a backoff from this node, to be excluded by a placer that selects
+    /// engines for this node.
+    pub fn backed_off(&self, max_engines: usize, now: MonotonicTime) -> Vec<SubjectHandle> {
+        self.signals.backed_off(now).take(max_engines).collect()
     }
 
-    /// Time until every stage that a query needs has an engine that accepts it, where none does for the backoffs and the rate
-    /// limits of its engines; absent where there is no such engine.
+    /// Time until every stage that a query needs has an engine whose backoff and rate limit admit the query; `None` if all
+    /// stages accept it now or have no usable engine.
     pub fn time_until_accepted(&self, query: &PoolQuery<'_>, now: MonotonicTime) -> Option<Duration> {
         let stages = match query.prompt {
             Some(_) => &[EngineStage::Prefill, EngineStage::Decode][..],
@@ -112,11 +113,11 @@
         };
         let waits = stages
             .iter()
-            .filter_map(|stage| self.stage_accepts_in(*stage, query, now));
+            .filter_map(|stage| self.time_until_stage_accepts(*stage, query, now));
         waits.max().filter(|wait| !wait.is_zero())
     }
 
-    fn stage_accepts_in(
+    fn time_until_stage_accepts(
         &self,
         stage: EngineStage,
         query: &PoolQuery<'_>,
@@ -137,20 +138,20 @@
         waits.min()
     }
 
-    /// Why a request must not leave this node for an engine now; absent where it may. An engine that is not in use is judged
-    /// by what it said of itself alone.
+    /// Reason why this node must not send a request to an engine now; `None` if it may. For an engine that the router does not
+    /// hold, only its own signals count.
     pub fn not_accepting(&self, engine: &EngineId, now: MonotonicTime) -> Option<NotAccepting> {
         let state = self.engine(engine);
         let handle = self.handle_of(engine);
-        let drains = state.is_some_and(EngineState::is_about_to_leave) || self.signals.is_draining(handle);
-        if drains {
+        let is_draining = state.is_some_and(EngineState::is_draining) || self.signals.is_draining(handle);
+        if is_draining {
             return Some(NotAccepting::Draining);
         }
         self.backoff_remaining(handle, now)
             .map(|remaining| NotAccepting::BackedOff { remaining })
     }
 
-    /// Time for which an engine still wants no requests from this node; absent where it takes them.
+    /// Remaining time of the backoff that an engine requested from this node; `None` if there is none or it has ended.
     pub fn backoff_remaining(&self, engine: SubjectHandle, now: MonotonicTime) -> Option<Duration> {
         let end = self.signals.backoff_end(engine).filter(|end| *end > now)?;
         Some(end.since(now))
--- a/crates/core/src/routing/pool/silences.rs
+++ b/crates/core/src/routing/pool/silences.rs
@@ -49,7 +49,7 @@
         let pause = state.health.silent(now);
         state.breaks.broke(now);
         let (zone, engine) = (state.engine.zone.clone(), state.handle);
-        let from = ticket.from();
+        let from = ticket.sender_zone();
         if pause.is_some() {
             self.note_engine_change(ticket.engine().clone(), pause, false);
         }
--- a/crates/core/tests/engine_starts.rs
+++ b/crates/core/tests/engine_starts.rs
@@ -191,8 +191,8 @@
     node.hear(3, listed(2), false, at(120));
     assert_eq!(node.router.taking_work(at(120)), 1);
     assert_eq!(chosen(node.answer(1, 1, at(121))), Some(handle(2)));
-    assert!(node.state(1).has_later_start() && !node.state(1).stays());
-    assert!(!node.state(1).is_about_to_leave());
+    assert!(node.state(1).has_later_start() && !node.state(1).is_active());
+    assert!(!node.state(1).is_draining());
 }
 
 #[test]
@@ -257,7 +257,7 @@
             .on_peer_load(&peer, WorkSlice::ALL, &[(handle(1), work)], at(113));
         node.router.on_prefix_updates(&[news(1)], at(114));
         node.router
-            .on_ordered(&[(handle(1), EngineStage::Prefill)], at(115));
+            .on_stage_orders(&[(handle(1), EngineStage::Prefill)], at(115));
         node.hear(3, listed(1), false, at(116));
         node.hear(4, gone(1), false, at(117));
         let now = at(118);
--- a/crates/core/tests/pool_admission.rs
+++ b/crates/core/tests/pool_admission.rs
@@ -200,20 +200,20 @@
     let p1 = EngineId::new("p1");
     let mut at = NOW;
     for reading in 0..25 {
-        let (_, demand) = router.role_input(&pool(), at);
+        let (_, demand) = router.role_planner_input(&pool(), at);
         assert!(reading >= 20 || demand.prompt_tokens_per_second.is_none());
         let ticket = router.on_prompt_sent(&p1, &asked.query(), at);
         at = at + Duration::from_millis(60);
         router.on_prompt_prefilled(&ticket, &[], at);
     }
-    let (_, demand) = router.role_input(&pool(), at);
+    let (_, demand) = router.role_planner_input(&pool(), at);
     assert!(demand.prompt_tokens_per_second.is_some());
 }
 
 /// Found in the log of a quiet day: readings are a straight line, and the estimate believed twice the speed.
 #[test]
 fn speed_and_fixed_part_are_learned_from_readings_of_several_lengths() {
-    let mut speed = PrefillSpeed::assumed(40_000.0);
+    let mut speed = PrefillSpeed::with_initial_speed(40_000.0);
     for reading in 0..300 {
         let tokens = f64::from(1_000 + (reading % 17) * 3_000);
         speed.observe(tokens, Duration::from_secs_f64(0.008 + tokens / 205_000.0));
@@ -224,7 +224,7 @@
 
 #[test]
 fn a_few_lost_packets_move_the_line_little() {
-    let mut speed = PrefillSpeed::assumed(200_000.0);
+    let mut speed = PrefillSpeed::with_initial_speed(200_000.0);
     for reading in 0..300 {
         let tokens = f64::from(1_000 + (reading % 17) * 3_000);
         let lost = if reading % 29 == 7 { 3.0 } else { 0.0 };
@@ -239,7 +239,7 @@
     fn no_reading_leads_to_a_negative_or_endless_time(
         readings in prop::collection::vec((0u32..2_000_000, 0u64..20_000_000), 1..200),
     ) {
-        let mut speed = PrefillSpeed::assumed(40_000.0);
+        let mut speed = PrefillSpeed::with_initial_speed(40_000.0);
         for (tokens, micros) in readings {
             speed.observe(f64::from(tokens), Duration::from_micros(micros));
             for asked in [0.0, 1.0, 1e4, 1e9] {
@@ -269,7 +269,7 @@
 #[test]
 fn reading_beside_outputs_is_harmful_only_where_pauses_come_near_the_longest() {
     let harm = |part: f64| {
-        let mut speeds = PoolSpeeds::assumed(SPEED, 0.5);
+        let mut speeds = PoolSpeeds::with_initial_speed(SPEED, 0.5);
         (0..500).for_each(|_| speeds.pauses.observe(part));
         speeds.pauses.harm()
     };
--- a/crates/core/tests/pool_pauses.rs
+++ b/crates/core/tests/pool_pauses.rs
@@ -33,7 +33,7 @@
     fn forecast(work_factor: f64) -> PauseForecast {
         PauseForecast {
             event_seconds: 0.050,
-            reading: PrefillSpeed::assumed(30_000.0),
+            reading: PrefillSpeed::with_initial_speed(30_000.0),
             work_factor,
             recent_prefill: 0.0,
         }
--- a/crates/core/tests/pool_router.rs
+++ b/crates/core/tests/pool_router.rs
@@ -196,7 +196,7 @@
             ("p3".to_owned(), "d3".to_owned())
         );
     }
-    router.note_order(&EngineId::new("p3"), EngineStage::Decode, NOW);
+    router.record_stage_order(&EngineId::new("p3"), EngineStage::Decode, NOW);
     let route = router.choose(&Asked::new(1).query(), NOW);
     assert!(
         matches!(route, PoolRoute::Whole(engine) if engine.id.as_str() == "d3"),
--- a/crates/core/tests/rate_limit_choice.rs
+++ b/crates/core/tests/rate_limit_choice.rs
@@ -150,7 +150,7 @@
     let asked = Asked::new();
     let mut router = router();
     let part = |router: &PoolRouter, now| {
-        let (views, _) = router.role_input(&pool(), now);
+        let (views, _) = router.role_planner_input(&pool(), now);
         views.iter().map(|view| view.part).collect::<Vec<_>>()
     };
     name_limit(&mut router, "a", 2.0);
--- a/crates/core/tests/working_set.rs
+++ b/crates/core/tests/working_set.rs
@@ -50,7 +50,7 @@
 fn in_use(router: &PoolRouter, stage: EngineStage) -> usize {
     let engines = router.engines();
     engines
-        .filter(|state| state.engine.stage == stage && state.stays())
+        .filter(|state| state.engine.stage == stage && state.is_active())
         .count()
 }
 
--- a/crates/node/src/commanding/ordering.rs
+++ b/crates/node/src/commanding/ordering.rs
@@ -86,7 +86,7 @@
         let mut router = lock(&context.router);
         router.update_working_set(now);
         for pool in router.model_pools() {
-            let (engines, demand) = router.role_input(&pool, now);
+            let (engines, demand) = router.role_planner_input(&pool, now);
             let expected = lock(&context.expected_loads).get(&pool).copied();
             let peaks = self.peaks.entry(pool).or_default();
             if let Some(expected) = expected.filter(|_| !peaks.is_seen) {
@@ -103,7 +103,7 @@
         }
         let router = lock(&context.router);
         let changes = self.peaks.iter().map(|(pool, peaks)| {
-            let (engines, _) = router.role_input(pool, now);
+            let (engines, _) = router.role_planner_input(pool, now);
             let mut changes = plan_round(&engines, *peaks, policy);
             // Engines that are what is wanted already come into use instead; an order takes one out of service.
             changes.retain(|change| !router.has_reserve(pool, change.to));
@@ -135,7 +135,7 @@
             return;
         };
         if report.changing || report.stage == change.to {
-            lock(&context.router).note_order(&change.engine, change.to, context.now());
+            lock(&context.router).record_stage_order(&change.engine, change.to, context.now());
             return;
         }
         if context.now() + LEASE_LEFT > authority.not_after {
@@ -159,7 +159,7 @@
             token: authority.token,
             expected: report.sequence,
         };
-        lock(&context.router).note_order(&change.engine, change.to, context.now());
+        lock(&context.router).record_stage_order(&change.engine, change.to, context.now());
         context.peers.note_change();
         let answer = asking::ask(context, &change.engine, address, ANSWER_WAIT, |link| {
             link.begin_order(&order)
@@ -181,7 +181,7 @@
         });
         match answer {
             Ok(EngineReading::Ordered(OrderVerdict::Begun | OrderVerdict::AlreadySo)) => {}
-            Ok(_) => lock(&context.router).forget_order(&change.engine),
+            Ok(_) => lock(&context.router).clear_stage_order(&change.engine),
             Err(_) => {
                 self.in_doubt.push(InDoubt {
                     change,
--- a/crates/node/src/course/crash_evidence.rs
+++ b/crates/node/src/course/crash_evidence.rs
@@ -65,7 +65,7 @@
         let state = lock(&self.context.router).engine(engine).map(|state| {
             (
                 state.engine.address,
-                state.stays(),
+                state.is_active(),
                 state.was_replaced_unannounced(),
             )
         });
--- a/crates/node/src/course/placing.rs
+++ b/crates/node/src/course/placing.rs
@@ -178,7 +178,7 @@
     fn listed(&self, engine: SubjectHandle) -> Option<PoolEngine> {
         let mut router = lock(&self.context.router);
         let engine = router.bring_into_use(engine)?;
-        let state = router.engine(&engine).filter(|state| state.stays());
+        let state = router.engine(&engine).filter(|state| state.is_active());
         state.map(|state| state.engine.clone())
     }
 
--- a/crates/node/src/duties/scaling.rs
+++ b/crates/node/src/duties/scaling.rs
@@ -66,7 +66,7 @@
     pub(super) fn observe(&mut self, context: &Context) {
         let now = context.now();
         for (pool, scaling) in scaled_pools(context) {
-            let (engines, demand) = lock(&context.router).role_input(&pool, now);
+            let (engines, demand) = lock(&context.router).role_planner_input(&pool, now);
             let load = load_now(&engines, demand);
             if let Some(load) = load {
                 let smooth = self.smooth.entry(pool.clone()).or_default();
@@ -176,10 +176,10 @@
         let router = lock(&context.router);
         for state in router.engines().filter(|state| state.engine.pool == *pool) {
             let engine = &state.engine;
-            if state.is_about_to_leave() {
+            if state.is_draining() {
                 *leaving.entry(engine.zone.clone()).or_default() += u32::from(engine.spot);
             }
-            if !state.stays() {
+            if !state.is_active() {
                 continue;
             }
             let zone = zones.entry(engine.zone.clone()).or_insert_with(|| ZoneEngines {
--- a/crates/node/src/peers/receiving.rs
+++ b/crates/node/src/peers/receiving.rs
@@ -123,7 +123,7 @@
     router.on_prefix_updates(&message.news, now);
     router.on_pace_reports(&message.paces, now);
     router.on_peer_demand(&message.node, message.prompt_tokens_per_second, now);
-    router.on_ordered(&message.orders, now);
+    router.on_stage_orders(&message.orders, now);
     router.on_peer_silences(&message.silences, in_large_fleet, now);
     drop(router);
     if !message.silences.is_empty() || !message.news.is_empty() {
--- a/crates/node/src/peers/sending.rs
+++ b/crates/node/src/peers/sending.rs
@@ -291,7 +291,7 @@
             MOST_CHANGES
         };
         let cordons = cordons::version(context);
-        let list_news = lock(&context.recent_changes).told(most_changes, now);
+        let list_news = lock(&context.recent_changes).publishable(most_changes, now);
         let router = lock(&context.router);
         WorkMessage {
             node: context.config.node.clone(),
--- a/crates/node/src/watch/engines.rs
+++ b/crates/node/src/watch/engines.rs
@@ -61,7 +61,7 @@
         let read: Vec<(u64, ListChange)> = rows
             .map(|row| (row.version.0, faults.change_of(row, listing)))
             .collect();
-        lock(&context.recent_changes).note(listing, after, &read, context.now());
+        lock(&context.recent_changes).record(listing, after, &read, context.now());
         listing.apply(read, changes.version.0)
     });
     context.state.note_listed();
