--- a/crates/core/src/admission/controller.rs
+++ b/crates/core/src/admission/controller.rs
@@ -121,7 +121,7 @@
     }
 
     /// Notes the first part of an answer: its prompt no longer occupies the engines.
-    pub fn on_first_part(&mut self, ticket: &AdmissionTicket, now: MonotonicTime) {
+    pub fn on_first_output(&mut self, ticket: &AdmissionTicket, now: MonotonicTime) {
         let Some(admitted) = self.tickets.get_mut(&ticket.number) else {
             return;
         };
--- a/crates/core/src/engine_signals/mod.rs
+++ b/crates/core/src/engine_signals/mod.rs
@@ -4,14 +4,14 @@
 
 pub use register::{LONGEST_BACKOFF, SignalRegister};
 
-use crate::rate_limit::AnsweredLimit;
+use crate::rate_limit::ResponseLimit;
 use std::time::Duration;
 
 /// What the head of one answer says of its engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineSignals {
     /// Its rate limit.
-    pub rate_limit: AnsweredLimit,
+    pub rate_limit: ResponseLimit,
     /// Whether it drains: it is about to end and takes no new work.
     pub draining: bool,
     /// Whether it wants no requests from this node for a time.
--- a/crates/core/src/placing/placement_table.rs
+++ b/crates/core/src/placing/placement_table.rs
@@ -7,12 +7,12 @@
 
 use super::promise::Promise;
 use super::question::{
-    AdmissionVerdict, Answer, ChosenEngine, PlacedRequest, Placement, Progress, ProgressReport, Question,
-    RequestKey, Wanted,
+    AdmissionVerdict, ChosenEngine, DispatchProgress, Placement, PlacementAnswer, PlacementKind,
+    PlacementQuery, ProgressReport, RequestKey, RequestSummary,
 };
 use crate::identity::EngineId;
 use crate::membership::subject::SubjectHandle;
-use crate::rate_limit::max_wait::Waiting;
+use crate::rate_limit::max_wait::WaitFactors;
 use crate::routing::pool::{
     Admission, LATE_RANK, OutputWay, PoolAdmission, PoolEngine, PoolQuery, PoolRoute, PoolRouter, PoolTicket,
     PrefixBlock, Timing,
@@ -44,13 +44,13 @@
 
 #[derive(Clone, Debug)]
 struct Kept {
-    request: PlacedRequest,
+    request: RequestSummary,
     prefixes: Vec<PrefixBlock>,
     counted: Counted,
     promise: Option<Promise>,
     /// What its tenant was charged, as long as nobody has shown that the answer was followed.
     charge: Option<Charge>,
-    last_answer: Answer,
+    last_answer: PlacementAnswer,
     until: MonotonicTime,
 }
 
@@ -66,10 +66,10 @@
     pub fn answer(
         &mut self,
         router: &mut PoolRouter,
-        question: &Question,
+        question: &PlacementQuery,
         settings: &PoolAdmission,
         now: MonotonicTime,
-    ) -> Option<Answer> {
+    ) -> Option<PlacementAnswer> {
         self.sweep(router, now);
         let before = self.kept.remove(&question.key);
         if let Some(before) = before {
@@ -89,7 +89,7 @@
             counted: Counted::Nothing,
             promise: None,
             charge: None,
-            last_answer: Answer {
+            last_answer: PlacementAnswer {
                 key: question.key,
                 step: 0,
                 verdict: None,
@@ -104,25 +104,25 @@
         &mut self,
         router: &mut PoolRouter,
         mut kept: Kept,
-        question: &Question,
+        question: &PlacementQuery,
         settings: &PoolAdmission,
         now: MonotonicTime,
-    ) -> Answer {
+    ) -> PlacementAnswer {
         kept.request = question.request.clone();
-        kept.until = now + question.request.left + KEPT_AFTER_END;
-        kept.close(router, &question.wanted, now);
-        let (verdict, placement) = match &question.wanted {
-            Wanted::Admission(timing) => {
+        kept.until = now + question.request.remaining + KEPT_AFTER_END;
+        kept.close(router, &question.kind, now);
+        let (verdict, placement) = match &question.kind {
+            PlacementKind::Admission(timing) => {
                 let (verdict, placement) = kept.admit(router, question.key, *timing, settings, now);
                 (Some(verdict), placement)
             }
-            Wanted::Engines { excluded } => (None, kept.choose(router, question.key, excluded, now)),
-            Wanted::Output { source, excluded, .. } => {
+            PlacementKind::Retry { excluded } => (None, kept.choose(router, question.key, excluded, now)),
+            PlacementKind::Decode { source, excluded, .. } => {
                 let placement = kept.choose_output(router, question.key, *source, excluded, now);
                 (None, placement)
             }
         };
-        kept.last_answer = Answer {
+        kept.last_answer = PlacementAnswer {
             key: question.key,
             step: question.step,
             verdict,
@@ -183,12 +183,12 @@
 
 impl Kept {
     /// Ends what was counted before a further question, which says how that went.
-    fn close(&mut self, router: &mut PoolRouter, wanted: &Wanted, now: MonotonicTime) {
-        match (std::mem::replace(&mut self.counted, Counted::Nothing), wanted) {
-            (Counted::Prompt(ticket), Wanted::Output { told, .. }) => {
+    fn close(&mut self, router: &mut PoolRouter, kind: &PlacementKind, now: MonotonicTime) {
+        match (std::mem::replace(&mut self.counted, Counted::Nothing), kind) {
+            (Counted::Prompt(ticket), PlacementKind::Decode { reported_load, .. }) => {
                 self.charge = None;
-                if let Some(told) = told {
-                    router.on_told(ticket.engine(), *told, now);
+                if let Some(reported_load) = reported_load {
+                    router.on_told(ticket.engine(), *reported_load, now);
                 }
                 router.on_prompt_read(&ticket, &self.prefixes, now);
             }
@@ -337,11 +337,11 @@
     /// How long the request waits at an engine that names a rate limit. The node that asks takes the slot, and knows better
     /// what it has put into the request.
     fn slot_max_wait(&self) -> Duration {
-        let waiting = Waiting {
+        let waiting = WaitFactors {
             rank: usize::from(self.request.rank),
-            left: self.request.left,
-            is_invested: false,
-            beyond_share: 1.0,
+            remaining: self.request.remaining,
+            is_retry_or_prefilled: false,
+            overuse_factor: 1.0,
         };
         waiting.max_wait()
     }
@@ -357,23 +357,28 @@
             last_resort: false,
             terms: self.request.terms,
             rank: usize::from(self.request.rank),
-            remaining: self.request.left,
+            remaining: self.request.remaining,
             slot_max_wait: self.slot_max_wait(),
             draw: key.number,
         }
     }
 
     /// Takes what became of the dispatch; true where nothing is counted any more.
-    fn on_progress(&mut self, router: &mut PoolRouter, progress: &Progress, now: MonotonicTime) -> bool {
+    fn on_progress(
+        &mut self,
+        router: &mut PoolRouter,
+        progress: &DispatchProgress,
+        now: MonotonicTime,
+    ) -> bool {
         let ticket = match &self.counted {
             Counted::Prompt(ticket) | Counted::Output(ticket) => ticket.clone(),
             Counted::Nothing => return true,
         };
         match progress {
-            Progress::Begun { told } => {
+            DispatchProgress::Started { reported_load } => {
                 self.charge = None;
-                if let Some(told) = told {
-                    router.on_told(ticket.engine(), *told, now);
+                if let Some(reported_load) = reported_load {
+                    router.on_told(ticket.engine(), *reported_load, now);
                 }
                 router.on_output_begun(&ticket, &self.prefixes, now);
                 if let Some(promise) = self.promise.take() {
@@ -382,32 +387,38 @@
                 }
                 return false;
             }
-            Progress::Paused { .. } => {
+            DispatchProgress::Paused { .. } => {
                 router.on_paused_too_long(&ticket);
                 return false;
             }
-            Progress::Answered { pauses } => {
+            DispatchProgress::Answered { pauses } => {
                 for pause in pauses {
                     router.on_pause(&ticket, f64::from(*pause) * PAUSE_UNIT, now);
                 }
                 router.on_output_ended(&ticket, now);
                 router.on_answered(&ticket);
             }
-            Progress::Refused { reason, told } => {
-                if let Some(told) = told {
-                    router.on_told(ticket.engine(), *told, now);
+            DispatchProgress::Refused {
+                reason,
+                reported_load,
+            } => {
+                if let Some(reported_load) = reported_load {
+                    router.on_told(ticket.engine(), *reported_load, now);
                 }
                 router.on_refused(&ticket, *reason, now);
             }
-            Progress::Broken => router.on_broken(&ticket, now),
-            Progress::Silent => router.on_silent(&ticket, now),
-            Progress::Abandoned => {
+            DispatchProgress::ConnectionFailed => router.on_broken(&ticket, now),
+            DispatchProgress::Unresponsive => router.on_silent(&ticket, now),
+            DispatchProgress::Abandoned => {
                 self.take_back_charge(router, now);
                 router.on_abandoned(&ticket);
             }
         }
         self.counted = Counted::Nothing;
         // Whoever was refused or let down asks again: the last answer must not be given for a new question.
-        matches!(progress, Progress::Answered { .. } | Progress::Abandoned)
+        matches!(
+            progress,
+            DispatchProgress::Answered { .. } | DispatchProgress::Abandoned
+        )
     }
 }
--- a/crates/core/src/placing/placer_set.rs
+++ b/crates/core/src/placing/placer_set.rs
@@ -26,13 +26,13 @@
 
 /// What is known of another node that may place requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Presence {
+pub enum CandidateStatus {
     /// It said a short time ago that it places.
-    Places,
+    Active,
     /// It is listed, and nothing speaks against it.
     Listed,
     /// It placed and has fallen silent.
-    Silent,
+    Unresponsive,
 }
 
 /// Time that each node which comes before gets to take a vacant place and to be heard: it looks several times a second and
@@ -48,7 +48,7 @@
 
 /// Whether a node that has read only some of the list is one of those that have to know all of it: it may be among the
 /// first `places` or take over from them. Whoever is among the first of all is among the first of any part.
-pub fn is_in_line(own: Candidate, some: &[Candidate], places: usize) -> bool {
+pub fn may_become_placer(own: Candidate, some: &[Candidate], places: usize) -> bool {
     let own = own.rank();
     let before = some.iter().filter(|other| other.rank() > own).count();
     before < places * IN_LINE
@@ -59,9 +59,9 @@
 /// It does where it ranks among the first of those that place. A place that is vacant goes to the node that comes next,
 /// and only after a turn for each to the ones behind it: were the loss of one a reason for all to step in, each of n nodes
 /// would tell all others so, n squared messages at once.
-pub fn places_itself(
+pub fn should_place(
     own: Candidate,
-    others: impl Iterator<Item = (Candidate, Presence)>,
+    others: impl Iterator<Item = (Candidate, CandidateStatus)>,
     places: usize,
     vacant_for: Duration,
 ) -> bool {
@@ -70,12 +70,12 @@
     for (other, presence) in others {
         let comes_before = usize::from(other.rank() > own);
         match presence {
-            Presence::Places => {
+            CandidateStatus::Active => {
                 placing += 1;
                 placing_before += comes_before;
             }
-            Presence::Listed => waiting_before += comes_before,
-            Presence::Silent => {}
+            CandidateStatus::Listed => waiting_before += comes_before,
+            CandidateStatus::Unresponsive => {}
         }
     }
     let vacant = places.saturating_sub(placing);
@@ -91,7 +91,7 @@
 
 impl PlacerSet {
     /// The `count` first of the candidates that are alive: by processor, then by rendezvous hashing.
-    pub fn of(alive: &[Candidate], count: usize) -> Self {
+    pub fn select(alive: &[Candidate], count: usize) -> Self {
         let mut ranked: Vec<_> = alive.iter().map(Candidate::rank).collect();
         ranked.sort_unstable_by(|left, right| right.cmp(left));
         ranked.truncate(count);
@@ -106,13 +106,13 @@
     }
 
     /// The nodes that come first for so many places, and those that take over from them.
-    pub fn line(alive: &[Candidate], places: usize) -> Self {
-        Self::of(alive, places * IN_LINE)
+    pub fn with_standbys(alive: &[Candidate], places: usize) -> Self {
+        Self::select(alive, places * IN_LINE)
     }
 
     /// Whether a placer is one of the few that tell a node often.
-    pub fn is_near(&self, placer: SubjectHandle, node: SubjectHandle) -> bool {
-        let near = self.placers_of(mix(node.number()), |_| false, NEAR_PLACERS);
+    pub fn is_primary_contact(&self, placer: SubjectHandle, node: SubjectHandle) -> bool {
+        let near = self.placers_for(mix(node.number()), |_| false, NEAR_PLACERS);
         near.contains(&placer)
     }
 
@@ -122,7 +122,7 @@
     }
 
     /// The placers of what a number names, first choice first; without those that `passed_over` names.
-    pub fn placers_of(
+    pub fn placers_for(
         &self,
         subject: u64,
         passed_over: impl Fn(SubjectHandle) -> bool,
--- a/crates/core/src/placing/question.rs
+++ b/crates/core/src/placing/question.rs
@@ -21,7 +21,7 @@
 
 /// A request as a placer has to know it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PlacedRequest {
+pub struct RequestSummary {
     /// Pool that serves it.
     pub pool: PoolId,
     /// Its prompt.
@@ -33,25 +33,25 @@
     /// Rank among requests, from [`crate::routing::pool::rank_of`] or [`crate::routing::pool::LATE_RANK`].
     pub rank: u8,
     /// Time left.
-    pub left: Duration,
+    pub remaining: Duration,
 }
 
 /// What a node wants of a placer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Wanted {
+pub enum PlacementKind {
     /// Whether the request is taken, and its engines.
     Admission(Timing),
     /// Engines anew, without those that failed it.
-    Engines {
+    Retry {
         /// Engines that failed the request.
         excluded: Vec<SubjectHandle>,
     },
     /// The engine that runs the output of the prompt, which has been read.
-    Output {
+    Decode {
         /// The engine that has read the prompt.
         source: SubjectHandle,
         /// Load that it told when it had read the prompt.
-        told: Option<ToldLoad>,
+        reported_load: Option<ToldLoad>,
         /// Engines that failed the request.
         excluded: Vec<SubjectHandle>,
     },
@@ -59,15 +59,15 @@
 
 /// A question about one request; the same one may arrive twice.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Question {
+pub struct PlacementQuery {
     /// The request.
     pub key: RequestKey,
     /// Number of the question among those about the request.
     pub step: u32,
     /// The request itself, since any placer may be asked at any time.
-    pub request: PlacedRequest,
+    pub request: RequestSummary,
     /// What is wanted.
-    pub wanted: Wanted,
+    pub kind: PlacementKind,
 }
 
 /// An engine that a placer chose, and what spoke for it.
@@ -126,7 +126,7 @@
 
 /// A placer's answer to the question with the same key and step.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct PlacementAnswer {
     /// The request.
     pub key: RequestKey,
     /// The question.
@@ -139,11 +139,11 @@
 
 /// What became of a dispatch that a placer has counted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Progress {
+pub enum DispatchProgress {
     /// The first event has come.
-    Begun {
+    Started {
         /// Load that the engine told.
-        told: Option<ToldLoad>,
+        reported_load: Option<ToldLoad>,
     },
     /// It has ended well.
     Answered {
@@ -155,10 +155,10 @@
         /// Why.
         reason: EngineRefusalReason,
         /// Load that the engine told.
-        told: Option<ToldLoad>,
+        reported_load: Option<ToldLoad>,
     },
     /// The connection broke or was refused.
-    Broken,
+    ConnectionFailed,
     /// An output paused for longer than is harmless; it goes on.
     Paused {
         /// The pause, in hundredths of the longest harmless one.
@@ -167,7 +167,7 @@
     /// It ended for a cause that is not the engine's, or nobody waits for the placer's answer any more.
     Abandoned,
     /// The engine said nothing for too long, or no connection could be made in time.
-    Silent,
+    Unresponsive,
 }
 
 /// Tells a placer what became of what it answered to a question.
@@ -178,5 +178,5 @@
     /// The question whose answer it is about.
     pub step: u32,
     /// What became of it.
-    pub progress: Progress,
+    pub progress: DispatchProgress,
 }
--- a/crates/core/src/rate_limit/belief.rs
+++ b/crates/core/src/rate_limit/estimate.rs
@@ -6,25 +6,25 @@
 
 /// What the head of an engine's answer says of a limit.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub enum AnsweredLimit {
+pub enum ResponseLimit {
     /// Nothing: the engine has none, or none any more.
     #[default]
     Absent,
     /// The engine names one.
-    Named(RateLimit),
+    Valid(RateLimit),
     /// Field and value that are no rate, which says nothing of whether there is a limit.
-    Unreadable(String),
+    Invalid(String),
 }
 
 /// What an answer or a notice has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitChange {
     /// Nothing that others have to know.
-    Nothing,
+    Unchanged,
     /// The limit, or whether there is one.
-    Limit,
+    Changed,
     /// The engine names something that is no rate, for the first time since it named one or none.
-    Unreadable,
+    Invalid,
 }
 
 /// Time for which others are told that a limit has ended.
@@ -36,7 +36,7 @@
 
 /// What is believed of one start of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LimitBelief {
+pub struct LimitEstimate {
     limit: Option<RateLimit>,
     /// When that was last known to hold; absent where nothing was ever heard.
     as_of: Option<MonotonicTime>,
@@ -47,7 +47,7 @@
     next_slot: Option<MonotonicTime>,
 }
 
-impl LimitBelief {
+impl LimitEstimate {
     /// The limit, if there is one.
     pub fn limit(&self) -> Option<RateLimit> {
         self.limit
@@ -56,24 +56,24 @@
     /// Takes what an answer says to a request sent at `sent_at`.
     pub fn on_answer(
         &mut self,
-        said: &AnsweredLimit,
+        said: &ResponseLimit,
         sent_at: MonotonicTime,
         now: MonotonicTime,
     ) -> LimitChange {
         let was_unreadable = std::mem::take(&mut self.is_unreadable);
         match said {
-            AnsweredLimit::Named(limit) => {
+            ResponseLimit::Valid(limit) => {
                 self.named_here_at = Some(now);
                 self.take(Some(*limit), now)
             }
             // Answers overtake each other: what was sent for before the limit was last heard may be older than it.
-            AnsweredLimit::Absent => self.take(None, sent_at),
-            AnsweredLimit::Unreadable(_) => {
+            ResponseLimit::Absent => self.take(None, sent_at),
+            ResponseLimit::Invalid(_) => {
                 self.is_unreadable = true;
                 if was_unreadable {
-                    LimitChange::Nothing
+                    LimitChange::Unchanged
                 } else {
-                    LimitChange::Unreadable
+                    LimitChange::Invalid
                 }
             }
         }
@@ -90,29 +90,29 @@
             .as_of
             .is_none_or(|known| as_of > known || (as_of == known && limit.is_some()));
         if !is_newer {
-            return LimitChange::Nothing;
+            return LimitChange::Unchanged;
         }
         // That an engine which never named any limit has none is no statement.
         if self.limit.is_none() && limit.is_none() {
-            return LimitChange::Nothing;
+            return LimitChange::Unchanged;
         }
         self.as_of = Some(as_of);
         let before = std::mem::replace(&mut self.limit, limit);
         if before == limit {
-            return LimitChange::Nothing;
+            return LimitChange::Unchanged;
         }
         self.next_slot = None;
-        LimitChange::Limit
+        LimitChange::Changed
     }
 
     /// What others are told, and its age; absent where there is nothing to tell.
-    pub fn told(&self, now: MonotonicTime) -> Option<(Option<RateLimit>, Duration)> {
+    pub fn advertised(&self, now: MonotonicTime) -> Option<(Option<RateLimit>, Duration)> {
         let age = now.since(self.as_of?);
         (self.limit.is_some() || age < ENDED_TOLD).then_some((self.limit, age))
     }
 
     /// Whether an answer to this node named the limit within a time.
-    pub fn is_named_here(&self, within: Duration, now: MonotonicTime) -> bool {
+    pub fn is_confirmed_locally(&self, within: Duration, now: MonotonicTime) -> bool {
         self.named_here_at.is_some_and(|at| now.since(at) < within)
     }
 
--- a/crates/core/src/rate_limit/limit.rs
+++ b/crates/core/src/rate_limit/limit.rs
@@ -17,7 +17,7 @@
 
 impl RateLimit {
     /// A limit of so many requests a second; absent where that is no rate.
-    pub fn of(requests_per_second: f64) -> Option<Self> {
+    pub fn new(requests_per_second: f64) -> Option<Self> {
         (requests_per_second.is_finite() && requests_per_second >= 0.0).then_some(Self {
             thousandths: (requests_per_second * UNITS) as u32,
         })
--- a/crates/core/src/rate_limit/max_wait.rs
+++ b/crates/core/src/rate_limit/max_wait.rs
@@ -12,30 +12,30 @@
 const RETURNED_PART: f64 = 0.25;
 
 /// Longest wait.
-pub const LONGEST: Duration = Duration::from_secs(1);
+pub const MAX_SLOT_WAIT: Duration = Duration::from_secs(1);
 
 /// What of a request decides.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Waiting {
+pub struct WaitFactors {
     /// Rank of its kind; zero is the most urgent.
     pub rank: usize,
     /// Time left.
-    pub left: Duration,
+    pub remaining: Duration,
     /// Whether something would be lost with it: its caller was refused before, or its prompt has been read.
-    pub is_invested: bool,
+    pub is_retry_or_prefilled: bool,
     /// Factor by which its tenant had more than its share of the pool; one where it had not.
-    pub beyond_share: f64,
+    pub overuse_factor: f64,
 }
 
-impl Waiting {
+impl WaitFactors {
     /// The longest wait.
     pub fn max_wait(&self) -> Duration {
-        let part = if self.is_invested {
+        let part = if self.is_retry_or_prefilled {
             RETURNED_PART
         } else {
             FIRST_PART / (1 + self.rank) as f64
         };
-        let max_wait = self.left.mul_f64(part / self.beyond_share.max(1.0));
-        max_wait.min(LONGEST)
+        let max_wait = self.remaining.mul_f64(part / self.overuse_factor.max(1.0));
+        max_wait.min(MAX_SLOT_WAIT)
     }
 }
--- a/crates/core/src/rate_limit/message.rs
+++ b/crates/core/src/rate_limit/message.rs
@@ -19,7 +19,7 @@
 
 /// Asks the owner of an engine for a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SlotQuestion {
+pub struct SlotRequest {
     /// Number that the sender has drawn for the question.
     pub number: u64,
     /// What the sender knows of the engine's limit.
@@ -28,7 +28,7 @@
     pub max_wait_millis: u32,
 }
 
-/// What is answered to a [`SlotQuestion`].
+/// What is answered to a [`SlotRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SlotOutcome {
     /// The request may be sent after so many milliseconds.
@@ -47,7 +47,7 @@
         age_millis: u32,
     },
     /// Another node keeps the engine's slots.
-    NotKept {
+    NotOwner {
         /// The one that does, as far as the sender knows.
         owner: SubjectHandle,
     },
@@ -55,7 +55,7 @@
 
 /// The answer to the question with the same number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SlotAnswer {
+pub struct SlotResponse {
     /// Number of the question.
     pub number: u64,
     /// The answer.
--- a/crates/core/src/rate_limit/mod.rs
+++ b/crates/core/src/rate_limit/mod.rs
@@ -15,14 +15,14 @@
 //! Nodes that can't reach each other choose different owners, of which each reaches the fewer the more there are, so that the sum
 //! stays near the limit however the fleet is split: a node that reaches nobody has its own part without a message.
 
-mod belief;
+mod estimate;
 mod limit;
 pub mod max_wait;
 mod message;
 pub mod slot_owner;
 mod slots;
 
-pub use belief::{AnsweredLimit, LimitBelief, LimitChange};
+pub use estimate::{LimitChange, LimitEstimate, ResponseLimit};
 pub use limit::RateLimit;
-pub use message::{LimitNotice, SlotAnswer, SlotOutcome, SlotQuestion};
+pub use message::{LimitNotice, SlotOutcome, SlotRequest, SlotResponse};
 pub use slots::{Slot, SlotSchedule};
--- a/crates/core/src/rate_limit/slot_owner.rs
+++ b/crates/core/src/rate_limit/slot_owner.rs
@@ -24,7 +24,7 @@
 }
 
 /// The part of a limit that an owner has which reaches so many of all nodes, itself included, that keep to limits as well.
-pub fn part_of(heard: u32, nodes: u32) -> f64 {
+pub fn limit_share(heard: u32, nodes: u32) -> f64 {
     let part = (f64::from(heard) / f64::from(nodes.max(1))).min(1.0);
     if part >= FULL_FROM { 1.0 } else { part }
 }
@@ -61,7 +61,7 @@
     }
 
     /// Engines whose slots were asked for of late.
-    pub fn engines(&self) -> usize {
+    pub fn engine_count(&self) -> usize {
         self.schedules.len()
     }
 }
--- a/crates/core/src/rate_limit/slots.rs
+++ b/crates/core/src/rate_limit/slots.rs
@@ -46,7 +46,7 @@
     /// Lets slots lapse that nobody took.
     fn pass(&mut self, interval: Duration, whole: bool, now: MonotonicTime) {
         // Slots were further apart where the limit was lower, or the owner had a smaller part of it.
-        self.next = self.next.min(now + interval + max_wait::LONGEST);
+        self.next = self.next.min(now + interval + max_wait::MAX_SLOT_WAIT);
         if whole {
             self.next = self.next.max(now - interval.saturating_mul(SAVED));
         } else if self.next < now {
--- a/crates/core/src/routing/cache.rs
+++ b/crates/core/src/routing/cache.rs
@@ -5,13 +5,13 @@
 
 /// Blocks that an engine is believed to hold.
 #[derive(Clone, Debug, Default)]
-pub struct CacheBelief {
+pub struct CacheEstimate {
     incarnation: u64,
     last_sequence: Option<u64>,
     blocks: HashSet<u64>,
 }
 
-impl CacheBelief {
+impl CacheEstimate {
     /// Applies events of one start of the engine; a gap or a restart drops what was believed before it.
     pub fn apply(&mut self, incarnation: u64, events: &[KvEvent]) {
         if incarnation < self.incarnation {
--- a/crates/core/src/routing/health.rs
+++ b/crates/core/src/routing/health.rs
@@ -1,6 +1,6 @@
 //! How far an engine's answers fall behind what it reports of itself, and whether it is left alone for a while.
 
-use super::returning::Returning;
+use super::slow_start::SlowStart;
 use crate::engine::EngineRefusalReason;
 use crate::time::MonotonicTime;
 use std::time::Duration;
@@ -35,7 +35,7 @@
     consecutive_troubles: u32,
     paused_until: MonotonicTime,
     /// How load returns after the pause, where the engine is paused because it said nothing.
-    returning: Option<Returning>,
+    returning: Option<SlowStart>,
 }
 
 impl Health {
@@ -53,35 +53,35 @@
     }
 
     /// An answer came: the engine works.
-    pub fn succeeded(&mut self) {
+    pub fn on_success(&mut self) {
         self.consecutive_troubles = 0;
     }
 
     /// A connection broke or could not be made.
-    pub fn broke(&mut self, now: MonotonicTime) {
+    pub fn on_connection_failure(&mut self, now: MonotonicTime) {
         self.pause(BROKEN_PAUSE, now);
     }
 
     /// The engine said nothing for too long, to this node or another: after a pause load returns step by step. The pause
     /// that begins, if one does.
-    pub fn silent(&mut self, now: MonotonicTime) -> Option<Duration> {
-        if self.is_paused(now) {
+    pub fn on_unresponsive(&mut self, now: MonotonicTime) -> Option<Duration> {
+        if self.is_backing_off(now) {
             return None;
         }
         self.pause(BROKEN_PAUSE, now);
         self.paused_until = self.paused_until.min(now + LONGEST_SILENT_PAUSE);
-        self.returning = Some(Returning::begin(self.paused_until));
+        self.returning = Some(SlowStart::begin(self.paused_until));
         Some(self.paused_until.since(now))
     }
 
     /// The engine has answered another node: if it was left alone because it said nothing, load returns now. True where
     /// that was so.
-    pub fn answered_elsewhere(&mut self, now: MonotonicTime) -> bool {
-        let returns = self.returning.is_some() && self.is_paused(now);
+    pub fn on_peer_success(&mut self, now: MonotonicTime) -> bool {
+        let returns = self.returning.is_some() && self.is_backing_off(now);
         if returns {
             self.consecutive_troubles = 0;
             self.paused_until = now;
-            self.returning = Some(Returning::begin(now));
+            self.returning = Some(SlowStart::begin(now));
         }
         returns
     }
@@ -93,7 +93,7 @@
     }
 
     /// The engine refused to run something.
-    pub fn refused(&mut self, reason: EngineRefusalReason, now: MonotonicTime) {
+    pub fn on_refusal(&mut self, reason: EngineRefusalReason, now: MonotonicTime) {
         match reason {
             EngineRefusalReason::QueueFull => self.pause(QUEUE_FULL_PAUSE, now),
             EngineRefusalReason::Draining
@@ -110,18 +110,18 @@
     }
 
     /// A new start of the engine's process wipes what was known of the old one.
-    pub fn restarted(&mut self) {
+    pub fn on_restart(&mut self) {
         *self = Self::default();
     }
 
     /// Whether the engine is left alone now.
-    pub fn is_paused(&self, now: MonotonicTime) -> bool {
+    pub fn is_backing_off(&self, now: MonotonicTime) -> bool {
         now < self.paused_until
     }
 
     /// Time for which it is still left alone; absent where it isn't.
-    pub fn paused_for(&self, now: MonotonicTime) -> Option<Duration> {
-        self.is_paused(now).then(|| self.paused_until.since(now))
+    pub fn remaining_backoff(&self, now: MonotonicTime) -> Option<Duration> {
+        self.is_backing_off(now).then(|| self.paused_until.since(now))
     }
 
     fn pause(&mut self, first: Duration, now: MonotonicTime) {
--- a/crates/core/src/routing/mod.rs
+++ b/crates/core/src/routing/mod.rs
@@ -9,8 +9,8 @@
 pub mod pool;
 pub mod prefix;
 pub mod query;
-pub mod returning;
 pub mod router;
+pub mod slow_start;
 pub mod view;
 pub mod weights;
 
--- a/crates/core/src/routing/pool/admission.rs
+++ b/crates/core/src/routing/pool/admission.rs
@@ -103,7 +103,7 @@
     /// Time within which the first event is worth most.
     pub target: Duration,
     /// Time that the caller still waits.
-    pub left: Duration,
+    pub remaining: Duration,
     /// Whether the caller has come back after a refusal.
     pub returned: bool,
 }
@@ -245,7 +245,7 @@
             let (late_route, late_expected) = self.choose_expecting(&late_query, now);
             let expected = decision.expected.as_secs_f64();
             let late_expected = late_expected.map_or(expected, |late| late.seconds);
-            let most = timing.left.as_secs_f64() * settings.late_share;
+            let most = timing.remaining.as_secs_f64() * settings.late_share;
             if timing.returned || late_expected <= most {
                 decision.admission = Admission::Late;
                 decision.route = late_route;
--- a/crates/core/src/routing/pool/cordoned.rs
+++ b/crates/core/src/routing/pool/cordoned.rs
@@ -84,7 +84,7 @@
             return Some(LeftAlone::TakenBack);
         }
         self.health
-            .paused_for(now)
+            .remaining_backoff(now)
             .map(|remaining| LeftAlone::Paused { remaining })
     }
 }
--- a/crates/core/src/routing/pool/dispatches.rs
+++ b/crates/core/src/routing/pool/dispatches.rs
@@ -100,7 +100,7 @@
         let Some(state) = self.engines.get_mut(&ticket.engine) else {
             return;
         };
-        state.health.succeeded();
+        state.health.on_success();
         state.breaks.answered();
         note_held(state, prefixes, &mut self.news, now);
         self.paths.note_answer(&ticket.from, &state.engine.zone, now);
@@ -179,7 +179,7 @@
     pub fn on_answered(&mut self, ticket: &PoolTicket) {
         if let Some(state) = self.engines.get_mut(&ticket.engine) {
             let work = state.sent.remove(&ticket.number);
-            state.health.succeeded();
+            state.health.on_success();
             state.breaks.answered();
             // Its answer came after it was sent; when, only a series of events has told before.
             if let Some(work) = work {
@@ -201,7 +201,7 @@
         if let Some(state) = self.engines.get_mut(&ticket.engine) {
             state.sent.remove(&ticket.number);
             state.heard(now);
-            state.health.refused(reason, now);
+            state.health.on_refusal(reason, now);
             self.paths.note_answer(&ticket.from, &state.engine.zone, now);
         }
     }
@@ -210,7 +210,7 @@
     pub fn on_broken(&mut self, ticket: &PoolTicket, now: MonotonicTime) {
         if let Some(state) = self.engines.get_mut(&ticket.engine) {
             state.sent.remove(&ticket.number);
-            state.health.broke(now);
+            state.health.on_connection_failure(now);
             state.breaks.broke(now);
         }
     }
--- a/crates/core/src/routing/pool/engine.rs
+++ b/crates/core/src/routing/pool/engine.rs
@@ -11,7 +11,7 @@
 use crate::forwarding::PoolId;
 use crate::identity::{EngineId, NodeId, ZoneId};
 use crate::membership::subject::SubjectHandle;
-use crate::rate_limit::LimitBelief;
+use crate::rate_limit::LimitEstimate;
 use crate::routing::health::Health;
 use crate::time::MonotonicTime;
 use serde::{Deserialize, Serialize};
@@ -238,7 +238,7 @@
     pub(super) sent: BTreeMap<u64, SentWork>,
     pub(super) told: Option<(ToldLoad, MonotonicTime)>,
     /// The rate limit that it names in its answers.
-    pub(super) limit: LimitBelief,
+    pub(super) limit: LimitEstimate,
     pub(super) peers: BTreeMap<NodeId, (PeerWork, MonotonicTime)>,
     /// Factor by which it answers slower than expected; one when it does not. Decides where `pace` is not in use.
     pub(super) slowness: f64,
@@ -274,7 +274,7 @@
             breaks: BreakShare::default(),
             sent: BTreeMap::new(),
             told: None,
-            limit: LimitBelief::default(),
+            limit: LimitEstimate::default(),
             peers: BTreeMap::new(),
             slowness: 1.0,
             read_lately: RecentReading::default(),
@@ -376,7 +376,7 @@
             && !self.engine.leaving
             && self.ordered_stage(now).is_none()
             && self.cordon_allows(now, last_resort)
-            && (last_resort || !(self.health.is_paused(now) || self.is_taken_back(now)))
+            && (last_resort || !(self.health.is_backing_off(now) || self.is_taken_back(now)))
     }
 
     /// Whether this start of the engine is over, beyond the doubt that its entry may only have lapsed.
@@ -392,7 +392,7 @@
 
     /// Whether another engine may fetch from it: it answers, even if it is about to leave.
     pub(super) fn can_be_fetched_from(&self, now: MonotonicTime) -> bool {
-        self.is_listed() && !self.health.is_paused(now)
+        self.is_listed() && !self.health.is_backing_off(now)
     }
 
     /// Whether the engine is listed and about to leave.
--- a/crates/core/src/routing/pool/limits.rs
+++ b/crates/core/src/routing/pool/limits.rs
@@ -5,7 +5,7 @@
 use crate::forwarding::PoolId;
 use crate::identity::EngineId;
 use crate::membership::subject::SubjectHandle;
-use crate::rate_limit::{AnsweredLimit, LimitChange, LimitNotice, RateLimit};
+use crate::rate_limit::{LimitChange, LimitNotice, RateLimit, ResponseLimit};
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
@@ -54,7 +54,7 @@
 
     /// Its limit as other nodes are told; absent where there is nothing to tell.
     pub fn limit_notice(&self, now: MonotonicTime) -> Option<LimitNotice> {
-        let (limit, age) = self.limit.told(now)?;
+        let (limit, age) = self.limit.advertised(now)?;
         Some(LimitNotice {
             engine: self.handle,
             limit,
@@ -69,12 +69,12 @@
     pub fn on_answered_limit(
         &mut self,
         engine: &EngineId,
-        said: &AnsweredLimit,
+        said: &ResponseLimit,
         sent_at: MonotonicTime,
         now: MonotonicTime,
     ) -> LimitChange {
         let state = self.engines.get_mut(engine);
-        state.map_or(LimitChange::Nothing, |state| {
+        state.map_or(LimitChange::Unchanged, |state| {
             state.limit.on_answer(said, sent_at, now)
         })
     }
@@ -88,7 +88,7 @@
         if wait > state.slot_wait(now) {
             state.limit.note_slot(wait, now);
         }
-        (change == LimitChange::Limit).then_some(&*state)
+        (change == LimitChange::Changed).then_some(&*state)
     }
 
     /// Notes how long the next slot of an engine is away.
@@ -111,7 +111,7 @@
             .engines
             .values()
             .filter(|state| state.is_listed())
-            .filter(|state| !named_here || state.limit.is_named_here(TOLD_AFTER_ANSWER, now));
+            .filter(|state| !named_here || state.limit.is_confirmed_locally(TOLD_AFTER_ANSWER, now));
         named.filter_map(|state| state.limit_notice(now)).collect()
     }
 
--- a/crates/core/src/routing/pool/neighbours.rs
+++ b/crates/core/src/routing/pool/neighbours.rs
@@ -137,7 +137,7 @@
                 if one.just_answered {
                     state.heard(now);
                 }
-                let returns = one.just_answered && state.health.answered_elsewhere(now);
+                let returns = one.just_answered && state.health.on_peer_success(now);
                 state.prefixes.note_read(&one.prefixes, now);
                 let engine = returns.then(|| state.engine.id.clone());
                 if let Some(engine) = engine {
--- a/crates/core/src/routing/pool/paths.rs
+++ b/crates/core/src/routing/pool/paths.rs
@@ -15,7 +15,7 @@
 
 use crate::identity::ZoneId;
 use crate::membership::subject::SubjectHandle;
-use crate::routing::returning::Returning;
+use crate::routing::slow_start::SlowStart;
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
@@ -93,7 +93,7 @@
         trial_after: Duration,
     },
     Returns {
-        returning: Returning,
+        returning: SlowStart,
     },
 }
 
@@ -326,13 +326,13 @@
         self.answered_at = self.answered_at.max(now);
         let change = match self.state {
             State::Suspected { since, .. } if now > since => {
-                let returning = Returning::begin(now);
+                let returning = SlowStart::begin(now);
                 self.state = State::Returns { returning };
                 Some(self.change(PathBelief::Returns, now.since(since)))
             }
-            State::Returns { returning } if returning.is_over(now) => {
+            State::Returns { returning } if returning.is_complete(now) => {
                 self.state = State::Trusted;
-                Some(self.change(PathBelief::Trusted, returning.lasts(now)))
+                Some(self.change(PathBelief::Trusted, returning.elapsed(now)))
             }
             _ => None,
         };
--- a/crates/core/src/routing/pool/signals.rs
+++ b/crates/core/src/routing/pool/signals.rs
@@ -6,7 +6,7 @@
 use crate::engine::EngineRefusalReason;
 use crate::identity::EngineId;
 use crate::membership::subject::SubjectHandle;
-use crate::routing::returning::Returning;
+use crate::routing::slow_start::SlowStart;
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
@@ -53,7 +53,7 @@
             return true;
         };
         now >= end
-            && (query.last_resort || Returning::begin(end).admits(query.draw ^ self.handle.number(), now))
+            && (query.last_resort || SlowStart::begin(end).admits(query.draw ^ self.handle.number(), now))
     }
 }
 
@@ -78,7 +78,7 @@
         now: MonotonicTime,
     ) {
         if let Some(state) = self.state_of(engine) {
-            state.health.refused(reason, now);
+            state.health.on_refusal(reason, now);
         }
     }
 
--- a/crates/core/src/routing/pool/silences.rs
+++ b/crates/core/src/routing/pool/silences.rs
@@ -46,7 +46,7 @@
         let Some(work) = state.sent.remove(&ticket.number()) else {
             return;
         };
-        let pause = state.health.silent(now);
+        let pause = state.health.on_unresponsive(now);
         state.breaks.broke(now);
         let (zone, engine) = (state.engine.zone.clone(), state.handle);
         let from = ticket.from();
@@ -85,7 +85,7 @@
                 && path_works
                 && !is_heard
             {
-                let pause = state.health.silent(now);
+                let pause = state.health.on_unresponsive(now);
                 let engine = state.engine.id.clone();
                 if pause.is_some() {
                     self.note_engine_change(engine, pause, true);
--- a/crates/core/src/routing/query.rs
+++ b/crates/core/src/routing/query.rs
@@ -35,7 +35,7 @@
 
 impl RouteQuery {
     /// The part of a split request that its prefill engine runs; note that engine's dispatch with it.
-    pub fn prefill_half(&self) -> Self {
+    pub fn prefill_query(&self) -> Self {
         Self {
             expected_output_tokens: 0,
             ..self.clone()
@@ -44,7 +44,7 @@
 
     /// The part of a split request that its decode engine runs; note that engine's dispatch with it, when the KV
     /// cache is handed over.
-    pub fn decode_half(&self) -> Self {
+    pub fn decode_query(&self) -> Self {
         Self {
             prompt_tokens: 0,
             prompt_blocks: Vec::new(),
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -104,7 +104,7 @@
     }
 
     /// Notes the first part of an answer (a token, or the end of prefill).
-    pub fn on_first_part(&mut self, engine: &EngineId, ticket: &DispatchTicket, now: MonotonicTime) {
+    pub fn on_first_output(&mut self, engine: &EngineId, ticket: &DispatchTicket, now: MonotonicTime) {
         let Some(view) = self.engines.get_mut(engine) else {
             return;
         };
@@ -126,13 +126,13 @@
         now: MonotonicTime,
     ) {
         if let Some(first_token) = work.first_token {
-            self.on_first_part(engine, ticket, ticket.sent_at + first_token);
+            self.on_first_output(engine, ticket, ticket.sent_at + first_token);
         }
         if let Some(view) = self.engines.get_mut(engine) {
             if let Some(sent) = view.ended(ticket.number) {
                 observe_tokens(view, &sent, work, now);
             }
-            view.health.succeeded();
+            view.health.on_success();
         }
         debug_assert!(ticket.sent_at <= now, "a dispatch ended before it was sent");
     }
@@ -154,7 +154,7 @@
     ) {
         if let Some(view) = self.engines.get_mut(engine) {
             view.ended(ticket.number);
-            view.health.refused(reason, now);
+            view.health.on_refusal(reason, now);
         }
     }
 
@@ -162,7 +162,7 @@
     pub fn on_broken(&mut self, engine: &EngineId, ticket: &DispatchTicket, now: MonotonicTime) {
         if let Some(view) = self.engines.get_mut(engine) {
             view.ended(ticket.number);
-            view.health.broke(now);
+            view.health.on_connection_failure(now);
         }
     }
 
@@ -199,7 +199,7 @@
         let serving = self
             .engines
             .values()
-            .filter(|view| view.takes_new_work() && view.holds_model(model));
+            .filter(|view| view.accepts_new_work() && view.holds_model(model));
         super::capacity::sum(serving, &self.weights, self.gateways, self.others(), now)
     }
 
@@ -228,10 +228,10 @@
 
     fn may_take(&self, engine: &EngineId, view: &EngineView, query: &RouteQuery, now: MonotonicTime) -> bool {
         query.allowed_zones.contains(&view.record.zone)
-            && view.takes_new_work()
+            && view.accepts_new_work()
             && view.serves(query)
             && view.address().is_some()
-            && !view.health.is_paused(now)
+            && !view.health.is_backing_off(now)
             && !query.excluded.contains(engine)
     }
 
--- a/crates/core/src/routing/returning.rs
+++ b/crates/core/src/routing/slow_start.rs
@@ -14,35 +14,35 @@
 
 /// A return that has begun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Returning {
+pub struct SlowStart {
     since: MonotonicTime,
 }
 
-impl Returning {
+impl SlowStart {
     /// Begins now.
     pub fn begin(now: MonotonicTime) -> Self {
         Self { since: now }
     }
 
     /// Part of the requests that may go there; one when the return is over.
-    pub fn part(self, now: MonotonicTime) -> f64 {
-        let passed = self.lasts(now).as_secs_f64() / RETURNS_WITHIN.as_secs_f64();
+    pub fn admitted_fraction(self, now: MonotonicTime) -> f64 {
+        let passed = self.elapsed(now).as_secs_f64() / RETURNS_WITHIN.as_secs_f64();
         (FIRST_PART + (1.0 - FIRST_PART) * passed).min(1.0)
     }
 
     /// Time since it began.
-    pub fn lasts(self, now: MonotonicTime) -> Duration {
+    pub fn elapsed(self, now: MonotonicTime) -> Duration {
         now.since(self.since)
     }
 
     /// Whether all may go there again.
-    pub fn is_over(self, now: MonotonicTime) -> bool {
-        self.lasts(now) >= RETURNS_WITHIN
+    pub fn is_complete(self, now: MonotonicTime) -> bool {
+        self.elapsed(now) >= RETURNS_WITHIN
     }
 
     /// Whether a request may go there, by a number drawn for the request and the place.
     pub fn admits(self, drawn: u64, now: MonotonicTime) -> bool {
         let fraction = mix(drawn) as f64 / u64::MAX as f64;
-        fraction < self.part(now)
+        fraction < self.admitted_fraction(now)
     }
 }
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -1,6 +1,6 @@
 //! What the router believes of one engine.
 
-use super::cache::CacheBelief;
+use super::cache::CacheEstimate;
 use super::health::{Health, delay_factor};
 use super::query::RouteQuery;
 use super::weights::RoutingWeights;
@@ -71,7 +71,7 @@
     /// When the state in the record was observed.
     pub observed_at: MonotonicTime,
     /// Prefixes it is believed to hold.
-    pub cache: CacheBelief,
+    pub cache: CacheEstimate,
     /// How it keeps what it reports.
     pub health: Health,
     mean_sequences: f64,
@@ -137,7 +137,7 @@
         Self {
             record,
             observed_at,
-            cache: CacheBelief::default(),
+            cache: CacheEstimate::default(),
             health: Health::default(),
             mean_sequences: ASSUMED_SEQUENCES,
             sent: BTreeMap::new(),
@@ -153,7 +153,7 @@
         let after = self.incarnation();
         if after > before {
             self.cache.restart_at(after);
-            self.health.restarted();
+            self.health.on_restart();
             self.sent.clear();
         }
         self.recount_unreported(observed_at - lag);
@@ -213,7 +213,7 @@
     }
 
     /// Whether new work may go there at all: it answers, stays, and is neither drained nor in a change.
-    pub fn takes_new_work(&self) -> bool {
+    pub fn accepts_new_work(&self) -> bool {
         self.record.liveness == Liveness::Alive
             && self.record.machine_state == MachineState::Live
             && self
--- a/crates/core/tests/engine_starts.rs
+++ b/crates/core/tests/engine_starts.rs
@@ -12,7 +12,7 @@
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::placing::placement_table::PlacementTable;
 use shelfjunction_core::placing::question::{
-    PlacedRequest, Placement, Progress, ProgressReport, Question, RequestKey, Wanted,
+    DispatchProgress, Placement, PlacementKind, PlacementQuery, ProgressReport, RequestKey, RequestSummary,
 };
 use shelfjunction_core::quarantine::config::QuarantineSettings;
 use shelfjunction_core::quarantine::{Asked, Fingerprint, Quarantine, Standing};
@@ -97,18 +97,18 @@
     }
 
     fn answer(&mut self, number: u64, step: u32, now: MonotonicTime) -> Placement {
-        let question = Question {
+        let question = PlacementQuery {
             key: key(number),
             step,
             request: request(),
-            wanted: Wanted::Engines { excluded: Vec::new() },
+            kind: PlacementKind::Retry { excluded: Vec::new() },
         };
         let settings = PoolAdmission::default();
         let answer = self.table.answer(&mut self.router, &question, &settings, now);
         answer.unwrap().placement
     }
 
-    fn progress(&mut self, number: u64, progress: Progress, now: MonotonicTime) {
+    fn progress(&mut self, number: u64, progress: DispatchProgress, now: MonotonicTime) {
         let report = ProgressReport {
             key: key(number),
             step: 1,
@@ -125,9 +125,9 @@
     }
 }
 
-fn request() -> PlacedRequest {
+fn request() -> RequestSummary {
     let part = |name, tokens| PromptPart { name, tokens };
-    PlacedRequest {
+    RequestSummary {
         pool: pool(),
         prompt: PromptShape {
             model: "m".to_owned(),
@@ -139,7 +139,7 @@
         zone: ZoneId::new("zone-a"),
         terms: RequestTerms::default(),
         rank: 1,
-        left: Duration::from_secs(4),
+        remaining: Duration::from_secs(4),
     }
 }
 
@@ -250,9 +250,15 @@
         work_time_percent: Some(900),
     };
     for node in &mut nodes {
-        node.progress(1, Progress::Begun { told: Some(told) }, at(110));
-        node.progress(1, Progress::Broken, at(111));
-        node.progress(2, Progress::Answered { pauses: vec![400] }, at(112));
+        node.progress(
+            1,
+            DispatchProgress::Started {
+                reported_load: Some(told),
+            },
+            at(110),
+        );
+        node.progress(1, DispatchProgress::ConnectionFailed, at(111));
+        node.progress(2, DispatchProgress::Answered { pauses: vec![400] }, at(112));
         node.router
             .on_peer_work(&peer, WorkSlice::ALL, &[(handle(1), work)], at(113));
         node.router.on_peer_news(&[news(1)], at(114));
--- a/crates/core/tests/engine_troubles.rs
+++ b/crates/core/tests/engine_troubles.rs
@@ -124,11 +124,11 @@
         let mut now = NOW;
         let mut pauses = Vec::new();
         for _ in 0..5 {
-            health.silent(now);
+            health.on_unresponsive(now);
             // Whoever else waited for it says so a moment later: nothing new.
-            health.silent(now + Duration::from_millis(50));
+            health.on_unresponsive(now + Duration::from_millis(50));
             let begun = now;
-            while health.is_paused(now) {
+            while health.is_backing_off(now) {
                 now = now + Duration::from_millis(50);
             }
             pauses.push(now.since(begun).as_millis());
@@ -139,17 +139,17 @@
     #[test]
     fn an_answer_to_another_node_ends_a_pause_for_silence_but_no_other() {
         let mut silent = Health::default();
-        silent.silent(NOW);
-        silent.answered_elsewhere(after(100));
-        assert!(!silent.is_paused(after(100)));
+        silent.on_unresponsive(NOW);
+        silent.on_peer_success(after(100));
+        assert!(!silent.is_backing_off(after(100)));
         let mut full = Health::default();
-        full.refused(EngineRefusalReason::QueueFull, NOW);
-        full.answered_elsewhere(after(50));
-        assert!(full.is_paused(after(50)));
+        full.on_refusal(EngineRefusalReason::QueueFull, NOW);
+        full.on_peer_success(after(50));
+        assert!(full.is_backing_off(after(50)));
         let mut broken = Health::default();
-        broken.broke(NOW);
-        broken.answered_elsewhere(after(50));
-        assert!(broken.is_paused(after(50)));
+        broken.on_connection_failure(NOW);
+        broken.on_peer_success(after(50));
+        assert!(broken.is_backing_off(after(50)));
     }
 
     fn word(engine: &str, sent_before_millis: u32) -> SilenceWord {
--- a/crates/core/tests/path_world/mod.rs
+++ b/crates/core/tests/path_world/mod.rs
@@ -7,7 +7,7 @@
 use shelfjunction_core::membership::subject::{SubjectHandle, mix};
 use shelfjunction_core::placing::placement_table::PlacementTable;
 use shelfjunction_core::placing::question::{
-    PlacedRequest, Placement, Progress, ProgressReport, Question, RequestKey, Wanted,
+    DispatchProgress, Placement, PlacementKind, PlacementQuery, ProgressReport, RequestKey, RequestSummary,
 };
 use shelfjunction_core::routing::pool::{
     EngineStage, PoolAdmission, PoolEngine, PoolRouter, PoolWeights, PromptPart, PromptShape, RequestTerms,
@@ -185,17 +185,17 @@
             Step::Silent => {
                 request.outcome.silences += 1;
                 let progress = if self.tells_silence {
-                    Progress::Silent
+                    DispatchProgress::Unresponsive
                 } else {
-                    Progress::Broken
+                    DispatchProgress::ConnectionFailed
                 };
                 self.report(request, progress, at);
                 (request.step < MOST_TRIES).then_some((at, Step::Ask))
             }
             Step::Answered => {
                 request.outcome.handed_over += 1;
-                self.report(request, Progress::Begun { told: None }, at);
-                self.report(request, Progress::Answered { pauses: Vec::new() }, at);
+                self.report(request, DispatchProgress::Started { reported_load: None }, at);
+                self.report(request, DispatchProgress::Answered { pauses: Vec::new() }, at);
                 None
             }
             Step::Hear => None,
@@ -205,10 +205,10 @@
     /// Asks the placer and sends the request to the engine that it names, by a new connection.
     fn ask(&mut self, request: &mut Request, at: u64, outage: &Outage) -> Option<(u64, Step)> {
         request.step += 1;
-        let question = Question {
+        let question = PlacementQuery {
             key: request.key,
             step: request.step,
-            request: PlacedRequest {
+            request: RequestSummary {
                 pool: pool(),
                 prompt: prompt(request.key.number),
                 zone: request.outcome.from.clone(),
@@ -217,9 +217,9 @@
                     ..RequestTerms::default()
                 },
                 rank: 1,
-                left: Duration::from_secs(8),
+                remaining: Duration::from_secs(8),
             },
-            wanted: Wanted::Engines {
+            kind: PlacementKind::Retry {
                 excluded: request.tried.clone(),
             },
         };
@@ -256,7 +256,7 @@
         }
     }
 
-    fn report(&mut self, request: &Request, progress: Progress, at: u64) {
+    fn report(&mut self, request: &Request, progress: DispatchProgress, at: u64) {
         let placer = &mut self.placers[request.placer];
         let report = ProgressReport {
             key: request.key,
--- a/crates/core/tests/paths.rs
+++ b/crates/core/tests/paths.rs
@@ -9,7 +9,7 @@
 use shelfjunction_core::identity::ZoneId;
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::routing::pool::{PathBelief, Paths};
-use shelfjunction_core::routing::returning::Returning;
+use shelfjunction_core::routing::slow_start::SlowStart;
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
 
@@ -189,9 +189,9 @@
 
     #[test]
     fn a_return_is_over_after_its_time() {
-        let returning = Returning::begin(NOW);
-        assert!(returning.part(NOW) < 0.2);
-        assert!((returning.part(after(5_000)) - 1.0).abs() < f64::EPSILON);
+        let returning = SlowStart::begin(NOW);
+        assert!(returning.admitted_fraction(NOW) < 0.2);
+        assert!((returning.admitted_fraction(after(5_000)) - 1.0).abs() < f64::EPSILON);
         assert!((0..1_000).all(|drawn| returning.admits(drawn, after(1_000))));
     }
 }
--- a/crates/core/tests/placer_line.rs
+++ b/crates/core/tests/placer_line.rs
@@ -1,7 +1,9 @@
 //! Who takes the places of those that choose engines for all, when some of them are lost.
 
 use shelfjunction_core::membership::subject::SubjectHandle;
-use shelfjunction_core::placing::placer_set::{Candidate, PlacerSet, Presence, is_in_line, places_itself};
+use shelfjunction_core::placing::placer_set::{
+    Candidate, CandidateStatus, PlacerSet, may_become_placer, should_place,
+};
 use std::time::Duration;
 
 const PLACES: usize = 8;
@@ -18,14 +20,14 @@
 
 /// Nodes that hold themselves for placers where those of `lost` have fallen silent.
 fn placing(nodes: &[Candidate], lost: &[SubjectHandle], vacant_for: Duration) -> usize {
-    let before = PlacerSet::of(nodes, PLACES);
+    let before = PlacerSet::select(nodes, PLACES);
     let presence = |node: &Candidate| {
         if lost.contains(&node.node) {
-            Presence::Silent
+            CandidateStatus::Unresponsive
         } else if before.includes(node.node) {
-            Presence::Places
+            CandidateStatus::Active
         } else {
-            Presence::Listed
+            CandidateStatus::Listed
         }
     };
     let living = nodes.iter().filter(|node| !lost.contains(&node.node));
@@ -33,7 +35,7 @@
         .filter(|own| {
             let others = nodes.iter().filter(|other| other.node != own.node);
             let others = others.map(|other| (*other, presence(other)));
-            places_itself(**own, others, PLACES, vacant_for)
+            should_place(**own, others, PLACES, vacant_for)
         })
         .count()
 }
@@ -43,9 +45,9 @@
     let nodes = nodes(985);
     let placing = nodes.iter().filter(|own| {
         let others = nodes.iter().filter(|other| other.node != own.node);
-        places_itself(
+        should_place(
             **own,
-            others.map(|other| (*other, Presence::Listed)),
+            others.map(|other| (*other, CandidateStatus::Listed)),
             PLACES,
             Duration::ZERO,
         )
@@ -57,7 +59,7 @@
 fn the_loss_of_one_is_made_good_by_one_in_a_fleet_of_any_size() {
     for size in [60, 300, 985, 1_970] {
         let nodes = nodes(size);
-        let lost = &PlacerSet::of(&nodes, PLACES).placers()[..1].to_vec();
+        let lost = &PlacerSet::select(&nodes, PLACES).placers()[..1].to_vec();
         assert_eq!(placing(&nodes, lost, Duration::ZERO), PLACES, "of {size} nodes");
     }
 }
@@ -65,14 +67,14 @@
 #[test]
 fn the_loss_of_all_is_made_good_by_as_many() {
     let nodes = nodes(985);
-    let lost = PlacerSet::of(&nodes, PLACES).placers().to_vec();
+    let lost = PlacerSet::select(&nodes, PLACES).placers().to_vec();
     assert_eq!(placing(&nodes, &lost, Duration::ZERO), PLACES);
 }
 
 #[test]
 fn where_those_that_come_next_stay_away_others_follow_by_turns() {
     let nodes = nodes(985);
-    let lost = PlacerSet::of(&nodes, PLACES).placers().to_vec();
+    let lost = PlacerSet::select(&nodes, PLACES).placers().to_vec();
     let after = |millis| placing(&nodes, &lost, Duration::from_millis(millis));
     assert_eq!(
         [after(399), after(400), after(1_200)],
@@ -86,9 +88,9 @@
     let part = &nodes[..64];
     let in_line: Vec<&Candidate> = nodes
         .iter()
-        .filter(|own| is_in_line(**own, part, PLACES))
+        .filter(|own| may_become_placer(**own, part, PLACES))
         .collect();
-    let placers = PlacerSet::of(&nodes, PLACES);
+    let placers = PlacerSet::select(&nodes, PLACES);
     assert!(
         placers
             .placers()
--- a/crates/core/tests/placing.rs
+++ b/crates/core/tests/placing.rs
@@ -13,7 +13,8 @@
 use shelfjunction_core::placing::placement_table::PlacementTable;
 use shelfjunction_core::placing::placer_set::{Candidate, PlacerSet};
 use shelfjunction_core::placing::question::{
-    Answer, PlacedRequest, Placement, Progress, ProgressReport, Question, RequestKey, Wanted,
+    DispatchProgress, Placement, PlacementAnswer, PlacementKind, PlacementQuery, ProgressReport, RequestKey,
+    RequestSummary,
 };
 use shelfjunction_core::routing::pool::{
     Admission, EngineStage, PoolAdmission, PoolRouter, PoolWeights, PromptPart, PromptShape, RequestTerms,
@@ -49,8 +50,8 @@
         let fleet = candidates(0..295, 120);
         let mut turned = fleet.clone();
         turned.reverse();
-        assert_eq!(PlacerSet::of(&fleet, 8), PlacerSet::of(&turned, 8));
-        assert_eq!(PlacerSet::of(&fleet, 8).placers().len(), 8);
+        assert_eq!(PlacerSet::select(&fleet, 8), PlacerSet::select(&turned, 8));
+        assert_eq!(PlacerSet::select(&fleet, 8).placers().len(), 8);
     }
 
     #[test]
@@ -58,9 +59,9 @@
         let small = candidates(0..280, 120);
         let large = candidates(280..295, 500);
         let fleet: Vec<Candidate> = small.iter().chain(&large).copied().collect();
-        let placers = PlacerSet::of(&fleet, 8);
+        let placers = PlacerSet::select(&fleet, 8);
         assert!(large.iter().filter(|one| placers.includes(one.node)).count() == 8);
-        let without_large = PlacerSet::of(&small, 8);
+        let without_large = PlacerSet::select(&small, 8);
         assert_eq!(
             without_large.placers().len(),
             8,
@@ -71,10 +72,10 @@
     #[test]
     fn the_loss_of_a_placer_moves_only_what_it_had() {
         let fleet = candidates(0..60, 250);
-        let placers = PlacerSet::of(&fleet, 8);
+        let placers = PlacerSet::select(&fleet, 8);
         let lost = placers.placers()[0];
         let left: Vec<Candidate> = fleet.iter().copied().filter(|one| one.node != lost).collect();
-        let smaller = PlacerSet::of(&left, 8);
+        let smaller = PlacerSet::select(&left, 8);
         let kept = placers
             .placers()
             .iter()
@@ -88,34 +89,37 @@
             .find(|one| !placers.includes(**one))
             .unwrap();
         for subject in (0..2_000_u64).map(|number| number.wrapping_mul(0x9E37_79B9_7F4A_7C15)) {
-            let before = placers.placers_of(subject, nobody, 1)[0];
-            let now = smaller.placers_of(subject, nobody, 1)[0];
+            let before = placers.placers_for(subject, nobody, 1)[0];
+            let now = smaller.placers_for(subject, nobody, 1)[0];
             assert!(now == before || before == lost || now == newcomer);
         }
     }
 
     #[test]
     fn a_silent_placer_is_passed_over_for_the_second_choice() {
-        let placers = PlacerSet::of(&candidates(0..60, 250), 8);
+        let placers = PlacerSet::select(&candidates(0..60, 250), 8);
         for subject in (1..100_u64).map(|number| number << 40) {
-            let [first, second] = placers.placers_of(subject, |_| false, 2)[..] else {
+            let [first, second] = placers.placers_for(subject, |_| false, 2)[..] else {
                 panic!("two placers");
             };
-            assert_eq!(placers.placers_of(subject, |placer| placer == first, 1), [second]);
+            assert_eq!(
+                placers.placers_for(subject, |placer| placer == first, 1),
+                [second]
+            );
         }
         assert!(
-            placers.placers_of(7, |_| true, 2).is_empty(),
+            placers.placers_for(7, |_| true, 2).is_empty(),
             "nobody is left to ask"
         );
     }
 
     #[test]
     fn subjects_spread_over_the_placers() {
-        let placers = PlacerSet::of(&candidates(0..295, 120), 8);
+        let placers = PlacerSet::select(&candidates(0..295, 120), 8);
         let mut counts = std::collections::BTreeMap::new();
         for subject in (0..8_000_u64).map(|number| number.wrapping_mul(0x9E37_79B9_7F4A_7C15)) {
             *counts
-                .entry(placers.placers_of(subject, |_| false, 1)[0])
+                .entry(placers.placers_for(subject, |_| false, 1)[0])
                 .or_insert(0) += 1;
         }
         assert!(
@@ -157,15 +161,15 @@
     router_with(weights, 64, None, &engines)
 }
 
-fn question(number: u64, step: u32, wanted: Wanted) -> Question {
+fn question(number: u64, step: u32, kind: PlacementKind) -> PlacementQuery {
     let part = |name, tokens| PromptPart { name, tokens };
-    Question {
+    PlacementQuery {
         key: RequestKey {
             node: node(1),
             number,
         },
         step,
-        request: PlacedRequest {
+        request: RequestSummary {
             terms: RequestTerms::default(),
             pool: pool(),
             prompt: PromptShape {
@@ -177,29 +181,29 @@
             },
             zone: ZoneId::new("zone-a"),
             rank: 1,
-            left: Duration::from_secs(4),
+            remaining: Duration::from_secs(4),
         },
-        wanted,
+        kind,
     }
 }
 
-fn admission(number: u64) -> Question {
+fn admission(number: u64) -> PlacementQuery {
     let timing = Timing {
         target: Duration::from_secs(1),
-        left: Duration::from_secs(4),
+        remaining: Duration::from_secs(4),
         returned: false,
     };
-    question(number, 1, Wanted::Admission(timing))
+    question(number, 1, PlacementKind::Admission(timing))
 }
 
-fn output(number: u64, source: SubjectHandle) -> Question {
+fn output(number: u64, source: SubjectHandle) -> PlacementQuery {
     let excluded = Vec::new();
     question(
         number,
         2,
-        Wanted::Output {
+        PlacementKind::Decode {
             source,
-            told: None,
+            reported_load: None,
             excluded,
         },
     )
@@ -218,14 +222,14 @@
         }
     }
 
-    fn ask(&mut self, question: &Question, now: MonotonicTime) -> Answer {
+    fn ask(&mut self, question: &PlacementQuery, now: MonotonicTime) -> PlacementAnswer {
         let settings = PoolAdmission::default();
         self.table
             .answer(&mut self.router, question, &settings, now)
             .unwrap()
     }
 
-    fn tell(&mut self, question: &Question, progress: Progress, now: MonotonicTime) {
+    fn tell(&mut self, question: &PlacementQuery, progress: DispatchProgress, now: MonotonicTime) {
         let report = ProgressReport {
             key: question.key,
             step: question.step,
@@ -250,7 +254,7 @@
     }
 }
 
-fn reader(answer: &Answer) -> SubjectHandle {
+fn reader(answer: &PlacementAnswer) -> SubjectHandle {
     match answer.placement {
         Placement::Split { prefill, .. } => prefill.engine,
         other => panic!("not split: {other:?}"),
@@ -268,8 +272,12 @@
     let answer = placer.ask(&second, after(200));
     assert!(matches!(answer.placement, Placement::One(_)));
     assert_eq!(placer.requests(), 1, "the prompt is read, the output counts now");
-    placer.tell(&second, Progress::Begun { told: None }, after(230));
-    let end = Progress::Answered { pauses: vec![20, 30] };
+    placer.tell(
+        &second,
+        DispatchProgress::Started { reported_load: None },
+        after(230),
+    );
+    let end = DispatchProgress::Answered { pauses: vec![20, 30] };
     placer.tell(&second, end, after(300));
     assert_eq!((placer.requests(), placer.table.len()), (0, 0));
 }
@@ -286,7 +294,7 @@
         let done = output(number, holder);
         // As long as 1,000 tokens should take.
         placer.ask(&done, after(1_035 + 400 * number));
-        placer.tell(&done, Progress::Abandoned, after(1_300 + 400 * number));
+        placer.tell(&done, DispatchProgress::Abandoned, after(1_300 + 400 * number));
     }
 }
 
@@ -318,7 +326,7 @@
     let first = admission(1);
     let answer = placer.ask(&first, NOW);
     placer.ask(&output(1, reader(&answer)), after(200));
-    placer.tell(&first, Progress::Broken, after(210));
+    placer.tell(&first, DispatchProgress::ConnectionFailed, after(210));
     assert_eq!(placer.requests(), 1, "the output is under way");
 }
 
@@ -328,10 +336,17 @@
     let first = admission(1);
     let refuser = reader(&placer.ask(&first, NOW));
     let reason = EngineRefusalReason::QueueFull;
-    placer.tell(&first, Progress::Refused { reason, told: None }, after(5));
+    placer.tell(
+        &first,
+        DispatchProgress::Refused {
+            reason,
+            reported_load: None,
+        },
+        after(5),
+    );
     assert_eq!(placer.requests(), 0);
     let excluded = vec![refuser];
-    let answer = placer.ask(&question(1, 2, Wanted::Engines { excluded }), after(6));
+    let answer = placer.ask(&question(1, 2, PlacementKind::Retry { excluded }), after(6));
     assert_ne!(reader(&answer), refuser);
     assert_eq!(placer.requests(), 1);
 }
@@ -341,7 +356,7 @@
     let mut placer = Placer::new();
     let refuser = reader(&placer.ask(&admission(1), NOW));
     let excluded = vec![refuser];
-    placer.ask(&question(1, 2, Wanted::Engines { excluded }), after(6));
+    placer.ask(&question(1, 2, PlacementKind::Retry { excluded }), after(6));
     assert_eq!(placer.requests(), 1);
 }
 
@@ -397,7 +412,7 @@
                 placer.table.answer(&mut placer.router, &output(number, source), &settings, at);
             }
             for _ in 0..times(*ended) {
-                placer.tell(&output(number, source), Progress::Answered { pauses: Vec::new() }, at);
+                placer.tell(&output(number, source), DispatchProgress::Answered { pauses: Vec::new() }, at);
             }
             prop_assert!(placer.requests() as u64 <= number + 1);
             prop_assert!(placer.requests() as usize <= placer.table.len());
@@ -411,7 +426,7 @@
 #[test]
 fn a_stream_that_paused_for_too_long_stays_counted_as_an_output_that_is_late_already() {
     let mut placer = Placer::new();
-    let bounded = |mut question: Question| {
+    let bounded = |mut question: PlacementQuery| {
         question.request.terms.longest_pause = Some(Duration::from_millis(200));
         question
     };
@@ -419,10 +434,18 @@
     let source = SubjectHandle::of_engine(&EngineId::new("p1"));
     let asked = bounded(output(1, source));
     placer.ask(&asked, after(50));
-    placer.tell(&asked, Progress::Begun { told: None }, after(80));
+    placer.tell(
+        &asked,
+        DispatchProgress::Started { reported_load: None },
+        after(80),
+    );
     assert_eq!((placer.requests(), placer.streams()), (1, 1));
-    placer.tell(&asked, Progress::Paused { hundredths: 130 }, after(400));
+    placer.tell(&asked, DispatchProgress::Paused { hundredths: 130 }, after(400));
     assert_eq!((placer.requests(), placer.streams()), (1, 0));
-    placer.tell(&asked, Progress::Answered { pauses: vec![130] }, after(600));
+    placer.tell(
+        &asked,
+        DispatchProgress::Answered { pauses: vec![130] },
+        after(600),
+    );
     assert_eq!((placer.requests(), placer.streams()), (0, 0));
 }
--- a/crates/core/tests/pool_admission.rs
+++ b/crates/core/tests/pool_admission.rs
@@ -77,7 +77,7 @@
 fn timing(returned: bool) -> Timing {
     Timing {
         target: Duration::from_millis(200),
-        left: Duration::from_secs(2),
+        remaining: Duration::from_secs(2),
         returned,
     }
 }
--- a/crates/core/tests/rate_limit_choice.rs
+++ b/crates/core/tests/rate_limit_choice.rs
@@ -8,7 +8,7 @@
 use shelfjunction_core::forwarding::PoolId;
 use shelfjunction_core::identity::{EngineId, EngineStart, ZoneId};
 use shelfjunction_core::membership::subject::SubjectHandle;
-use shelfjunction_core::rate_limit::{AnsweredLimit, LimitChange, LimitNotice, RateLimit};
+use shelfjunction_core::rate_limit::{LimitChange, LimitNotice, RateLimit, ResponseLimit};
 use shelfjunction_core::routing::pool::{
     EngineStage, OutputWay, PoolEngine, PoolQuery, PoolRoute, PoolRouter, PoolWeights, RequestTerms,
 };
@@ -55,9 +55,9 @@
 }
 
 fn name_limit(router: &mut PoolRouter, engine: &str, rate: f64) {
-    let said = AnsweredLimit::Named(RateLimit::of(rate).unwrap());
+    let said = ResponseLimit::Valid(RateLimit::new(rate).unwrap());
     let change = router.on_answered_limit(&EngineId::new(engine), &said, NOW, NOW);
-    assert_eq!(change, LimitChange::Limit);
+    assert_eq!(change, LimitChange::Changed);
 }
 
 fn no_slot_for(router: &mut PoolRouter, engine: &str, millis: u64) {
@@ -126,7 +126,7 @@
     assert!(other.on_limit_notice(&notices[0], later).is_some());
     assert!(other.on_limit_notice(&notices[0], later).is_none(), "nothing new");
     let limited = other.limited().next().unwrap();
-    assert_eq!(limited.rate_limit(), RateLimit::of(1.7));
+    assert_eq!(limited.rate_limit(), RateLimit::new(1.7));
     assert_eq!(limited.slot_wait(later), Duration::from_millis(200));
     assert!(
         other.limit_notices(true, later).is_empty(),
--- a/crates/core/tests/rate_limit_slots.rs
+++ b/crates/core/tests/rate_limit_slots.rs
@@ -6,9 +6,9 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use shelfjunction_core::membership::subject::SubjectHandle;
-use shelfjunction_core::rate_limit::max_wait::Waiting;
-use shelfjunction_core::rate_limit::slot_owner::{SlotOwner, owner_of, part_of};
-use shelfjunction_core::rate_limit::{LimitBelief, RateLimit, Slot};
+use shelfjunction_core::rate_limit::max_wait::WaitFactors;
+use shelfjunction_core::rate_limit::slot_owner::{SlotOwner, limit_share, owner_of};
+use shelfjunction_core::rate_limit::{LimitEstimate, RateLimit, Slot};
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
 
@@ -44,7 +44,7 @@
 struct Node {
     handle: SubjectHandle,
     owner: SlotOwner,
-    belief: LimitBelief,
+    belief: LimitEstimate,
     /// When it sees that the owner is gone.
     notices_at: u64,
     alive: bool,
@@ -70,9 +70,9 @@
 impl Fleet {
     fn new(nodes: usize, limit: f64, trouble: Trouble, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let limit = RateLimit::of(limit).unwrap();
+        let limit = RateLimit::new(limit).unwrap();
         let nodes = (0..nodes).map(|number| {
-            let mut belief = LimitBelief::default();
+            let mut belief = LimitEstimate::default();
             belief.on_notice(Some(limit), at(0));
             Node {
                 handle: SubjectHandle::of_text("node", &format!("node-{number}-{seed}")),
@@ -101,7 +101,7 @@
                 let limit = self.limit;
                 for node in &mut self.nodes {
                     node.owner = SlotOwner::default();
-                    node.belief = LimitBelief::default();
+                    node.belief = LimitEstimate::default();
                     node.belief.on_notice(Some(limit), at(STRUCK_MILLIS));
                 }
             }
@@ -143,11 +143,11 @@
 
     /// A request that comes to a node; when it arrives at the engine, if it goes there.
     fn send(&mut self, from: usize, millis: u64) -> Option<u64> {
-        let waiting = Waiting {
+        let waiting = WaitFactors {
             rank: self.random.random_range(0..3),
-            left: Duration::from_millis(3_000),
-            is_invested: self.random.random_range(0..4) == 0,
-            beyond_share: 1.0,
+            remaining: Duration::from_millis(3_000),
+            is_retry_or_prefilled: self.random.random_range(0..4) == 0,
+            overuse_factor: 1.0,
         };
         let max_wait = waiting.max_wait();
         if self.nodes[from].belief.slot_wait(at(millis)) > max_wait {
@@ -162,7 +162,7 @@
             return None;
         }
         let heard = (0..self.nodes.len()).filter(|other| self.hears(owner, *other, asked_at));
-        let part = part_of(heard.count() as u32, self.nodes.len() as u32);
+        let part = limit_share(heard.count() as u32, self.nodes.len() as u32);
         let own = self.nodes[owner].handle;
         let (engine, limit) = (self.engine, self.limit);
         let slot = self.nodes[owner]
@@ -316,7 +316,7 @@
 #[test]
 fn a_keeper_that_knew_no_nodes_or_a_lower_limit_gives_out_slots_as_soon_as_it_has_its_part() {
     let (own, engine) = (SubjectHandle::of_number(1), SubjectHandle::of_number(2));
-    let limit = |rate| RateLimit::of(rate).unwrap();
+    let limit = |rate| RateLimit::new(rate).unwrap();
     let max_wait = Duration::from_secs(1);
     let mut owner = SlotOwner::default();
     let none = owner.take(own, engine, limit(2.0), 0.0, max_wait, at(0));
@@ -336,17 +336,17 @@
 
 #[test]
 fn who_comes_back_finds_a_slot_where_a_first_request_no_longer_does() {
-    let waiting = |rank, is_invested| Waiting {
+    let waiting = |rank, is_retry_or_prefilled| WaitFactors {
         rank,
-        left: Duration::from_secs(3),
-        is_invested,
-        beyond_share: 1.0,
+        remaining: Duration::from_secs(3),
+        is_retry_or_prefilled,
+        overuse_factor: 1.0,
     };
     let returned = waiting(2, true).max_wait();
     let [urgent, usual, lesser] = [0, 1, 2].map(|rank| waiting(rank, false).max_wait());
     assert!(returned > urgent && urgent > usual && usual > lesser);
-    let beyond = Waiting {
-        beyond_share: 2.0,
+    let beyond = WaitFactors {
+        overuse_factor: 2.0,
         ..waiting(1, false)
     };
     assert_eq!(beyond.max_wait(), usual / 2);
--- a/crates/core/tests/sharing_charges.rs
+++ b/crates/core/tests/sharing_charges.rs
@@ -10,7 +10,8 @@
 use shelfjunction_core::identity::ZoneId;
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::placing::question::{
-    Answer, PlacedRequest, Placement, Progress, ProgressReport, Question, RequestKey, Wanted,
+    DispatchProgress, Placement, PlacementAnswer, PlacementKind, PlacementQuery, ProgressReport, RequestKey,
+    RequestSummary,
 };
 use shelfjunction_core::routing::pool::{PoolAdmission, PromptPart, PromptShape, RequestTerms, Timing};
 use shelfjunction_core::sharing::UseWord;
@@ -23,15 +24,15 @@
     SubjectHandle::of_text("tenant", "one")
 }
 
-fn question(number: u64, step: u32, wanted: Wanted) -> Question {
+fn question(number: u64, step: u32, kind: PlacementKind) -> PlacementQuery {
     let tokens = 1_000;
-    Question {
+    PlacementQuery {
         key: RequestKey {
             node: SubjectHandle::of_text("node", "asks"),
             number,
         },
         step,
-        request: PlacedRequest {
+        request: RequestSummary {
             pool: pool(),
             prompt: PromptShape {
                 model: "m".to_owned(),
@@ -46,34 +47,34 @@
                 ..RequestTerms::default()
             },
             rank: 1,
-            left: Duration::from_secs(4),
+            remaining: Duration::from_secs(4),
         },
-        wanted,
+        kind,
     }
 }
 
-fn admission(number: u64) -> Question {
+fn admission(number: u64) -> PlacementQuery {
     let timing = Timing {
         target: Duration::from_secs(1),
-        left: Duration::from_secs(4),
+        remaining: Duration::from_secs(4),
         returned: false,
     };
-    question(number, 1, Wanted::Admission(timing))
+    question(number, 1, PlacementKind::Admission(timing))
 }
 
-fn output(number: u64, answer: &Answer) -> Question {
+fn output(number: u64, answer: &PlacementAnswer) -> PlacementQuery {
     let Placement::Split { prefill, .. } = answer.placement else {
         panic!("not split: {answer:?}");
     };
-    let wanted = Wanted::Output {
-        told: None,
+    let kind = PlacementKind::Decode {
+        reported_load: None,
         source: prefill.engine,
         excluded: Vec::new(),
     };
-    question(number, 2, wanted)
+    question(number, 2, kind)
 }
 
-fn ask(placer: &mut Placer, question: &Question, now: MonotonicTime) -> Answer {
+fn ask(placer: &mut Placer, question: &PlacementQuery, now: MonotonicTime) -> PlacementAnswer {
     let settings = PoolAdmission::default();
     placer
         .table
@@ -81,7 +82,7 @@
         .unwrap()
 }
 
-fn tell(placer: &mut Placer, question: &Question, progress: Progress, now: MonotonicTime) {
+fn tell(placer: &mut Placer, question: &PlacementQuery, progress: DispatchProgress, now: MonotonicTime) {
     let report = ProgressReport {
         key: question.key,
         step: question.step,
@@ -119,7 +120,7 @@
     ask(&mut first, &asked, NOW);
     let answer = ask(&mut second, &asked, NOW);
     // The first answer came too late for the node, which says so.
-    tell(&mut first, &asked, Progress::Abandoned, NOW);
+    tell(&mut first, &asked, DispatchProgress::Abandoned, NOW);
     ask(&mut second, &output(1, &answer), NOW);
     assert_eq!((charged(&first), charged(&second)), (0, 1_100));
     let sharing = PoolAdmission::default().sharing;
@@ -154,7 +155,7 @@
     let answer = ask(&mut placer, &admission(1), NOW);
     let next = output(1, &answer);
     ask(&mut placer, &next, NOW);
-    tell(&mut placer, &next, Progress::Abandoned, NOW);
+    tell(&mut placer, &next, DispatchProgress::Abandoned, NOW);
     assert_eq!(charged(&placer), 1_100);
 }
 
@@ -163,8 +164,8 @@
     let mut placer = Placer::new(1, 3);
     let first = admission(1);
     ask(&mut placer, &first, NOW);
-    tell(&mut placer, &first, Progress::Broken, NOW);
-    let again = question(1, 2, Wanted::Engines { excluded: Vec::new() });
+    tell(&mut placer, &first, DispatchProgress::ConnectionFailed, NOW);
+    let again = question(1, 2, PlacementKind::Retry { excluded: Vec::new() });
     ask(&mut placer, &again, NOW);
     assert_eq!(charged(&placer), 1_100);
 }
--- a/crates/core/tests/sharing_placers.rs
+++ b/crates/core/tests/sharing_placers.rs
@@ -366,7 +366,7 @@
     };
     let timing = Timing {
         target: Duration::from_millis(500),
-        left: Duration::from_secs(4),
+        remaining: Duration::from_secs(4),
         returned,
     };
     let now = MonotonicTime::from_millis(1_000);
--- a/crates/core/tests/sharing_world/mod.rs
+++ b/crates/core/tests/sharing_world/mod.rs
@@ -6,7 +6,8 @@
 use shelfjunction_core::membership::subject::{SubjectHandle, mix};
 use shelfjunction_core::placing::placement_table::PlacementTable;
 use shelfjunction_core::placing::question::{
-    Answer, PlacedRequest, Placement, Progress, ProgressReport, Question, RequestKey, Wanted,
+    DispatchProgress, Placement, PlacementAnswer, PlacementKind, PlacementQuery, ProgressReport, RequestKey,
+    RequestSummary,
 };
 use shelfjunction_core::routing::pool::{
     Admission, EngineStage, PoolAdmission, PoolRouter, PoolWeights, PromptPart, PromptShape, RequestTerms,
@@ -103,7 +104,7 @@
     rank: usize,
     tokens_left: f64,
     asked_at: u64,
-    question: Question,
+    question: PlacementQuery,
 }
 
 /// The placers, engines and callers.
@@ -218,17 +219,17 @@
         self.follow(index, placer, question, &answer, asked_at);
     }
 
-    fn question(&self, index: usize, number: u64, returned: bool) -> Question {
+    fn question(&self, index: usize, number: u64, returned: bool) -> PlacementQuery {
         let sort = self.sorts[index];
         let target = Duration::from_millis(sort.target_millis);
-        let left = Duration::from_secs(4);
-        Question {
+        let remaining = Duration::from_secs(4);
+        PlacementQuery {
             key: RequestKey {
                 node: SubjectHandle::of_text("node", "asks"),
                 number,
             },
             step: 1,
-            request: PlacedRequest {
+            request: RequestSummary {
                 pool: pool(),
                 prompt: PromptShape {
                     model: "m".to_owned(),
@@ -247,22 +248,29 @@
                     ..RequestTerms::default()
                 },
                 rank: rank_of(sort.order) as u8,
-                left,
+                remaining,
             },
-            wanted: Wanted::Admission(Timing {
+            kind: PlacementKind::Admission(Timing {
                 target,
-                left,
+                remaining,
                 returned,
             }),
         }
     }
 
-    fn follow(&mut self, sort: usize, placer: usize, question: Question, answer: &Answer, asked_at: u64) {
+    fn follow(
+        &mut self,
+        sort: usize,
+        placer: usize,
+        question: PlacementQuery,
+        answer: &PlacementAnswer,
+        asked_at: u64,
+    ) {
         let rank = match answer.verdict.unwrap().admission {
             Admission::InTime => usize::from(question.request.rank),
             Admission::Late => 3,
             Admission::Refused { retry_after } => {
-                let Wanted::Admission(timing) = question.wanted else {
+                let PlacementKind::Admission(timing) = question.kind else {
                     panic!("only admissions are refused");
                 };
                 let outcome = &mut self.outcomes[sort];
@@ -332,10 +340,10 @@
         if placer.dead {
             return;
         }
-        let question = Question {
+        let question = PlacementQuery {
             step: 2,
-            wanted: Wanted::Output {
-                told: None,
+            kind: PlacementKind::Decode {
+                reported_load: None,
                 source: engine,
                 excluded: Vec::new(),
             },
@@ -343,8 +351,8 @@
         };
         placer.table.answer(&mut placer.router, &question, &settings, now);
         for progress in [
-            Progress::Begun { told: None },
-            Progress::Answered { pauses: Vec::new() },
+            DispatchProgress::Started { reported_load: None },
+            DispatchProgress::Answered { pauses: Vec::new() },
         ] {
             let report = ProgressReport {
                 key: job.key,
--- a/crates/core/tests/working_set.rs
+++ b/crates/core/tests/working_set.rs
@@ -103,7 +103,7 @@
 
 const TIMING: Timing = Timing {
     target: Duration::from_millis(600),
-    left: Duration::from_secs(5),
+    remaining: Duration::from_secs(5),
     returned: false,
 };
 
--- a/crates/gateway/src/admission_gate.rs
+++ b/crates/gateway/src/admission_gate.rs
@@ -64,8 +64,8 @@
     }
 
     /// Notes the first part of an answer.
-    pub(crate) fn on_first_part(&self, ticket: &AdmissionTicket, now: MonotonicTime) {
-        self.change(|controller| controller.on_first_part(ticket, now));
+    pub(crate) fn on_first_output(&self, ticket: &AdmissionTicket, now: MonotonicTime) {
+        self.change(|controller| controller.on_first_output(ticket, now));
     }
 
     /// Takes a ticket back.
--- a/crates/gateway/src/course/dispatch_account.rs
+++ b/crates/gateway/src/course/dispatch_account.rs
@@ -113,7 +113,7 @@
             self.first_part = Some(now.since(self.ticket.sent_at));
             lock(&context.fleet)
                 .router
-                .on_first_part(&self.engine, &self.ticket, now);
+                .on_first_output(&self.engine, &self.ticket, now);
         }
     }
 }
--- a/crates/gateway/src/course/driver.rs
+++ b/crates/gateway/src/course/driver.rs
@@ -269,7 +269,7 @@
         if self.tokens == 0 {
             context.metrics.first_token(now.since(self.course.arrived));
             if let Some(ticket) = self.course.admission {
-                context.admission.on_first_part(ticket, now);
+                context.admission.on_first_output(ticket, now);
             }
         }
         self.tokens += 1;
@@ -288,8 +288,8 @@
         let context = self.course.context;
         let query = &self.course.query;
         let part = match (call.phase, &call.import) {
-            (Phase::PrefillOnly, _) => query.prefill_half(),
-            (Phase::Whole, Some(_)) => query.decode_half(),
+            (Phase::PrefillOnly, _) => query.prefill_query(),
+            (Phase::Whole, Some(_)) => query.decode_query(),
             (Phase::Whole, None) => query.clone(),
         };
         let attempt = call.attempt.clone();
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -12,7 +12,9 @@
 use shelfjunction_core::forwarding::PoolId;
 use shelfjunction_core::identity::{EngineId, ZoneId};
 use shelfjunction_core::membership::subject::SubjectHandle;
-use shelfjunction_core::placing::placer_set::{Candidate, PlacerSet, Presence, is_in_line, places_itself};
+use shelfjunction_core::placing::placer_set::{
+    Candidate, CandidateStatus, PlacerSet, may_become_placer, should_place,
+};
 use shelfjunction_core::routing::pool::{
     EngineListing, EngineStage, ListChange, ListSnapshot, PoolEngine, PoolWeights,
 };
@@ -72,7 +74,7 @@
 pub fn measure(nodes: usize) -> Result<FleetFigures, SnapshotError> {
     let engines = nodes * ENGINES_PER_NODE;
     let fleet = candidates(nodes);
-    let placers = PlacerSet::of(&fleet, PLACERS);
+    let placers = PlacerSet::select(&fleet, PLACERS);
     let words = Words::of(&fleet, &placers);
     let mut listing = EngineListing::default();
     let list = ListSnapshot {
@@ -160,7 +162,7 @@
             .filter(|other| other.node != own.node)
             .copied()
             .collect();
-        is_in_line(**own, &others, PLACERS)
+        may_become_placer(**own, &others, PLACERS)
     });
     let whole_reads = if is_whole { 0 } else { in_line.count() };
     let pages = fleet.len().div_ceil(STORE_PAGE);
@@ -171,11 +173,11 @@
     let lost = placers.placers()[0];
     let presence = |node: &Candidate| {
         if node.node == lost {
-            Presence::Silent
+            CandidateStatus::Unresponsive
         } else if placers.includes(node.node) {
-            Presence::Places
+            CandidateStatus::Active
         } else {
-            Presence::Listed
+            CandidateStatus::Listed
         }
     };
     let living = fleet.iter().filter(|node| node.node != lost);
@@ -183,7 +185,7 @@
         .filter(|own| {
             let others = fleet.iter().filter(|other| other.node != own.node);
             let others = others.map(|other| (*other, presence(other)));
-            places_itself(**own, others, PLACERS, Duration::ZERO)
+            should_place(**own, others, PLACERS, Duration::ZERO)
         })
         .count()
 }
@@ -196,12 +198,12 @@
 
 impl Words {
     fn of(fleet: &[Candidate], placers: &PlacerSet) -> Self {
-        let line = PlacerSet::line(fleet, PLACERS);
+        let line = PlacerSet::with_standbys(fleet, PLACERS);
         let (often, seldom) = WORDS;
         let others: Vec<&Candidate> = fleet.iter().filter(|node| !placers.includes(node.node)).collect();
         let heard = |node: &&Candidate| -> f64 {
             let from = placers.placers().iter().map(|placer| {
-                if line.includes(node.node) || placers.is_near(*placer, node.node) {
+                if line.includes(node.node) || placers.is_primary_contact(*placer, node.node) {
                     often
                 } else {
                     seldom
--- a/crates/lab/src/fleet/traffic.rs
+++ b/crates/lab/src/fleet/traffic.rs
@@ -111,7 +111,7 @@
         };
         let timing = Timing {
             target: Duration::from_millis(target),
-            left: Duration::from_secs(6),
+            remaining: Duration::from_secs(6),
             returned: false,
         };
         let begun = Instant::now();
--- a/crates/lab/src/simulate/dispatch.rs
+++ b/crates/lab/src/simulate/dispatch.rs
@@ -95,8 +95,8 @@
             return false;
         };
         let query = match (phase, imported) {
-            (Phase::PrefillOnly, _) => flight.query.prefill_half(),
-            (Phase::Whole, true) => flight.query.decode_half(),
+            (Phase::PrefillOnly, _) => flight.query.prefill_query(),
+            (Phase::Whole, true) => flight.query.decode_query(),
             (Phase::Whole, false) => flight.query.clone(),
         };
         let router = &mut self.gateways[flight.gateway].router;
@@ -142,7 +142,7 @@
     let with_role = |serves: &dyn Fn(Role) -> bool| -> Vec<RouteTarget> {
         let engines = router.engines().filter(|(engine, view)| {
             query.allowed_zones.contains(&view.record.zone)
-                && view.takes_new_work()
+                && view.accepts_new_work()
                 && view.serves(query)
                 && !query.excluded.contains(engine)
                 && serves(view.role())
--- a/crates/lab/src/simulate/gateways.rs
+++ b/crates/lab/src/simulate/gateways.rs
@@ -185,10 +185,10 @@
         let gateway = &mut self.gateways[flight.gateway];
         if let Some(running) = &flight.running {
             let engine = &self.engines[running.engine].id;
-            gateway.router.on_first_part(engine, &running.ticket, self.now);
+            gateway.router.on_first_output(engine, &running.ticket, self.now);
         }
         if let Some(ticket) = &flight.admission {
-            gateway.admission.on_first_part(ticket, self.now);
+            gateway.admission.on_first_output(ticket, self.now);
         }
         let gateway = flight.gateway;
         self.take_updates(gateway);
@@ -205,7 +205,7 @@
             && let Some(ticket) = &flight.admission
         {
             let gateway = flight.gateway;
-            self.gateways[gateway].admission.on_first_part(ticket, self.now);
+            self.gateways[gateway].admission.on_first_output(ticket, self.now);
             self.take_updates(gateway);
         }
         let taken = running
--- a/crates/node/src/course/accounting.rs
+++ b/crates/node/src/course/accounting.rs
@@ -1,4 +1,4 @@
-//! Where a dispatch is counted, and who is told what becomes of it: this node's own router, or the placer that chose
+//! Where a dispatch is counted, and who is reported what becomes of it: this node's own router, or the placer that chose
 //! the engine.
 
 use super::driver::Driver;
@@ -7,16 +7,16 @@
 use crate::placing::{self, PlacedAt};
 use shelfjunction_core::engine::EngineRefusalReason;
 use shelfjunction_core::identity::EngineId;
-use shelfjunction_core::placing::question::{ChosenEngine, Progress};
+use shelfjunction_core::placing::question::{ChosenEngine, DispatchProgress};
 use shelfjunction_core::routing::pool::{PoolTicket, ToldLoad};
 use shelfjunction_core::time::MonotonicTime;
 use shelfjunction_threads::lock;
 use std::time::Duration;
 
-/// Most pauses that are told of one answer.
+/// Most pauses that are reported of one answer.
 const MOST_PAUSES: usize = 16;
 
-/// Units of a pause as it is told: hundredths of the longest harmless one.
+/// Units of a pause as it is reported: hundredths of the longest harmless one.
 const PAUSE_UNITS: f64 = 100.0;
 
 /// An engine that a placer chose and counted.
@@ -43,7 +43,7 @@
         at: PlacedAt,
         /// The engine.
         engine: EngineId,
-        /// Pauses between events, to be told at the end.
+        /// Pauses between events, to be reported at the end.
         pauses: Vec<u16>,
     },
 }
@@ -87,14 +87,16 @@
     }
 
     /// The first event has come.
-    pub(super) fn count_begun(&self, account: &Account, told: Option<ToldLoad>, now: MonotonicTime) {
+    pub(super) fn count_begun(&self, account: &Account, reported_load: Option<ToldLoad>, now: MonotonicTime) {
         match account {
             Account::Own(ticket) => {
                 lock(&self.context.router).on_output_begun(ticket, &self.prefixes, now);
                 belief_log::tell_changes(self.context);
                 self.context.peers.note_change();
             }
-            Account::Placer { at, .. } => placing::tell(self.context, at, Progress::Begun { told }),
+            Account::Placer { at, .. } => {
+                placing::tell(self.context, at, DispatchProgress::Started { reported_load })
+            }
         }
     }
 
@@ -110,7 +112,7 @@
                 self.context.peers.note_change();
             }
             Account::Placer { at, pauses, .. } => {
-                placing::tell(self.context, &at, Progress::Answered { pauses });
+                placing::tell(self.context, &at, DispatchProgress::Answered { pauses });
             }
         }
     }
@@ -120,18 +122,25 @@
         &self,
         account: &Account,
         reason: EngineRefusalReason,
-        told: Option<ToldLoad>,
+        reported_load: Option<ToldLoad>,
         now: MonotonicTime,
     ) {
         match account {
             Account::Own(ticket) => {
                 let mut router = lock(&self.context.router);
-                if let Some(told) = told {
-                    router.on_told(ticket.engine(), told, now);
+                if let Some(reported_load) = reported_load {
+                    router.on_told(ticket.engine(), reported_load, now);
                 }
                 router.on_refused(ticket, reason, now);
             }
-            Account::Placer { at, .. } => placing::tell(self.context, at, Progress::Refused { reason, told }),
+            Account::Placer { at, .. } => placing::tell(
+                self.context,
+                at,
+                DispatchProgress::Refused {
+                    reason,
+                    reported_load,
+                },
+            ),
         }
     }
 
@@ -139,7 +148,7 @@
     pub(super) fn count_broken(&self, account: &Account) {
         match account {
             Account::Own(ticket) => lock(&self.context.router).on_broken(ticket, self.context.now()),
-            Account::Placer { at, .. } => placing::tell(self.context, at, Progress::Broken),
+            Account::Placer { at, .. } => placing::tell(self.context, at, DispatchProgress::ConnectionFailed),
         }
     }
 
@@ -150,7 +159,7 @@
                 lock(&self.context.router).on_silent(ticket, self.context.now());
                 belief_log::tell_changes(self.context);
             }
-            Account::Placer { at, .. } => placing::tell(self.context, at, Progress::Silent),
+            Account::Placer { at, .. } => placing::tell(self.context, at, DispatchProgress::Unresponsive),
         }
     }
 
@@ -158,7 +167,7 @@
     pub(super) fn count_abandoned(&self, account: &Account) {
         match account {
             Account::Own(ticket) => lock(&self.context.router).on_abandoned(ticket),
-            Account::Placer { at, .. } => placing::tell(self.context, at, Progress::Abandoned),
+            Account::Placer { at, .. } => placing::tell(self.context, at, DispatchProgress::Abandoned),
         }
     }
 }
--- a/crates/node/src/course/admitting.rs
+++ b/crates/node/src/course/admitting.rs
@@ -6,7 +6,9 @@
 use shelfjunction_core::forwarding::RepeatRule;
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::outcome::{Refusal, RefusalReason};
-use shelfjunction_core::placing::question::{AdmissionVerdict, Answer, Placement as Placed, Wanted};
+use shelfjunction_core::placing::question::{
+    AdmissionVerdict, Placement as Placed, PlacementAnswer, PlacementKind,
+};
 use shelfjunction_core::request::event::Event;
 use shelfjunction_core::routing::pool::{
     Admission, AdmissionDecision, LATE_RANK, RequestTerms, Timing, rank_of,
@@ -35,19 +37,19 @@
     pub(super) fn admit(&mut self, now: MonotonicTime) {
         let timing = Timing {
             target: self.route.target_latency,
-            left: routing::left(self.deadline, now),
+            remaining: routing::left(self.deadline, now),
             returned: self.returned,
         };
-        if let Some((answer, at)) = self.ask(|| Wanted::Admission(timing))
+        if let Some((answer, at)) = self.ask(|| PlacementKind::Admission(timing))
             && let Some(verdict) = answer.verdict
         {
-            self.beyond_share = f64::from(verdict.standing.shortened);
+            self.overuse_factor = f64::from(verdict.standing.shortened);
             self.log_admission(Judged::of(&verdict), timing);
             return self.follow(verdict.admission, &answer, at);
         }
         let settings = &self.context.config.admission;
         let decision = lock(&self.context.router).admit_growing(&self.query(&[], now), timing, settings, now);
-        self.beyond_share = f64::from(decision.standing.shortened);
+        self.overuse_factor = f64::from(decision.standing.shortened);
         self.log_admission(Judged::by(&decision), timing);
         if !decision.expected.is_zero() {
             let query = self.query(&[], now);
@@ -68,7 +70,7 @@
     }
 
     /// Does what a placer has decided.
-    fn follow(&mut self, admission: Admission, answer: &Answer, at: PlacedAt) {
+    fn follow(&mut self, admission: Admission, answer: &PlacementAnswer, at: PlacedAt) {
         match admission {
             Admission::InTime => {}
             Admission::Late => self.late = true,
@@ -152,7 +154,7 @@
             error_percent = (judged.error * 100.0) as u64,
             turned_away_percent = (judged.turned_away * 100.0) as u64,
             target_millis = timing.target.as_millis() as u64,
-            left_millis = timing.left.as_millis() as u64,
+            left_millis = timing.remaining.as_millis() as u64,
             returned = timing.returned,
             tenant = self.access.tenant_name(),
             contended = judged.standing.contended,
--- a/crates/node/src/course/driver.rs
+++ b/crates/node/src/course/driver.rs
@@ -94,7 +94,7 @@
     /// Whether an engine has read the prompt.
     pub(super) prompt_is_read: bool,
     /// Factor by which the tenant had more than its share; one where it had not.
-    pub(super) beyond_share: f64,
+    pub(super) overuse_factor: f64,
     /// A connection went silent, so the next dispatch takes a new one.
     pub(super) distrusts_resting: bool,
     pub(super) watch_caller: bool,
@@ -170,7 +170,7 @@
             last_not_sent: false,
             prompt_told: None,
             prompt_is_read: false,
-            beyond_share: 1.0,
+            overuse_factor: 1.0,
             distrusts_resting: false,
             watch_caller: true,
             admitted: false,
--- a/crates/node/src/course/gate.rs
+++ b/crates/node/src/course/gate.rs
@@ -9,9 +9,9 @@
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use shelfjunction_core::engine_signals::LONGEST_BACKOFF;
 use shelfjunction_core::identity::{AttemptId, EngineId};
-use shelfjunction_core::placing::question::Progress;
+use shelfjunction_core::placing::question::DispatchProgress;
 use shelfjunction_core::rate_limit::Slot;
-use shelfjunction_core::rate_limit::max_wait::Waiting;
+use shelfjunction_core::rate_limit::max_wait::WaitFactors;
 use shelfjunction_core::request::event::Event;
 use shelfjunction_core::time::MonotonicTime;
 use shelfjunction_threads::lock;
@@ -44,7 +44,7 @@
             // The engine may have said more while the request waited for its slot.
             .or_else(|| self.not_accepted(engine, attempt, purpose));
         if let Some(choice) = choice.filter(|_| instead.is_some()) {
-            placing::tell(self.context, &choice.at, Progress::Abandoned);
+            placing::tell(self.context, &choice.at, DispatchProgress::Abandoned);
         }
         instead
     }
@@ -102,11 +102,11 @@
 
     /// Longest wait for a slot; `purpose` is what the engine is for, where it is known.
     fn max_wait_of(&self, purpose: Purpose, now: MonotonicTime) -> Duration {
-        let waiting = Waiting {
+        let waiting = WaitFactors {
             rank: self.rank(),
-            left: routing::left(self.deadline, now),
-            is_invested: self.returned || purpose == Purpose::Output,
-            beyond_share: self.beyond_share,
+            remaining: routing::left(self.deadline, now),
+            is_retry_or_prefilled: self.returned || purpose == Purpose::Output,
+            overuse_factor: self.overuse_factor,
         };
         waiting.max_wait()
     }
--- a/crates/node/src/course/pauses.rs
+++ b/crates/node/src/course/pauses.rs
@@ -3,7 +3,7 @@
 use super::accounting::Account;
 use super::driver::Driver;
 use crate::placing;
-use shelfjunction_core::placing::question::Progress;
+use shelfjunction_core::placing::question::DispatchProgress;
 use shelfjunction_core::time::MonotonicTime;
 use shelfjunction_threads::lock;
 use std::time::Duration;
@@ -84,7 +84,7 @@
             Account::Placer { at, .. } => {
                 let part = pause.as_secs_f64() / allowed.as_secs_f64().max(f64::MIN_POSITIVE);
                 let hundredths = (part * 100.0).min(f64::from(u16::MAX)) as u16;
-                placing::tell(self.context, at, Progress::Paused { hundredths });
+                placing::tell(self.context, at, DispatchProgress::Paused { hundredths });
                 None
             }
         };
--- a/crates/node/src/course/placing.rs
+++ b/crates/node/src/course/placing.rs
@@ -9,7 +9,8 @@
 use shelfjunction_core::identity::EngineId;
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::placing::question::{
-    Answer, ChosenEngine, PlacedRequest, Placement as Placed, Progress, Question, RequestKey, Wanted,
+    ChosenEngine, DispatchProgress, Placement as Placed, PlacementAnswer, PlacementKind, PlacementQuery,
+    RequestKey, RequestSummary,
 };
 use shelfjunction_core::request::event::Event;
 use shelfjunction_core::request::specification::Placement;
@@ -25,7 +26,7 @@
     /// Chooses engines anew, without those that failed the request.
     pub(super) fn choose_anew(&mut self, excluded: &[EngineId], now: MonotonicTime) {
         let excluded_here = self.excluded_here(excluded, now);
-        let wanted = || Wanted::Engines {
+        let wanted = || PlacementKind::Retry {
             excluded: excluded_here,
         };
         let placement = self.ask(wanted).and_then(|(answer, at)| self.adopt(&answer, at));
@@ -43,11 +44,11 @@
             log::info!(request = self.call.request.as_str(), engine = source.as_str(); "transfer_lost");
             return self.take(Event::TransferLost);
         }
-        let told = self.prompt_told.take();
+        let reported_load = self.prompt_told.take();
         let excluded_here = self.excluded_here(excluded, self.context.now());
-        let wanted = || Wanted::Output {
+        let wanted = || PlacementKind::Decode {
             source: SubjectHandle::of_engine(source),
-            told,
+            reported_load,
             excluded: excluded_here,
         };
         let placement = self.ask(wanted).and_then(|(answer, at)| self.adopt(&answer, at));
@@ -61,25 +62,28 @@
     }
 
     /// Asks the request's placer; absent where this node chooses by itself.
-    pub(super) fn ask(&mut self, wanted: impl FnOnce() -> Wanted) -> Option<(Box<Answer>, PlacedAt)> {
+    pub(super) fn ask(
+        &mut self,
+        wanted: impl FnOnce() -> PlacementKind,
+    ) -> Option<(Box<PlacementAnswer>, PlacedAt)> {
         let prompt = self.prompt?;
         self.step += 1;
         let now = self.context.now();
-        let question = Question {
+        let question = PlacementQuery {
             key: RequestKey {
                 node: self.context.peers.own_handle(),
                 number: self.draw,
             },
             step: self.step,
-            request: PlacedRequest {
+            request: RequestSummary {
                 pool: self.pool.clone(),
                 prompt: prompt.clone(),
                 zone: self.context.config.zone.clone(),
                 terms: self.terms(),
                 rank: self.rank() as u8,
-                left: routing::left(self.deadline, now),
+                remaining: routing::left(self.deadline, now),
             },
-            wanted: wanted(),
+            kind: wanted(),
         };
         let placements = &self.context.placements;
         let asked = placements.ask(self.context, &question, self.subject(), self.placer);
@@ -101,7 +105,7 @@
     }
 
     /// Takes the engines that a placer chose; absent where there is none, or one that this node knows to be gone.
-    pub(super) fn adopt(&mut self, answer: &Answer, at: PlacedAt) -> Option<Placement> {
+    pub(super) fn adopt(&mut self, answer: &PlacementAnswer, at: PlacedAt) -> Option<Placement> {
         match &answer.placement {
             Placed::Nowhere => None,
             Placed::One(chosen) => {
@@ -155,7 +159,7 @@
             cause = cause.name();
             "placed_engine_not_accepting"
         );
-        placing::tell(self.context, at, Progress::Abandoned);
+        placing::tell(self.context, at, DispatchProgress::Abandoned);
         None
     }
 
@@ -170,7 +174,7 @@
         }
         if known.is_none() {
             log::info!(request = self.call.request.as_str(), placer:% = at.address; "placed_engine_not_known");
-            placing::tell(self.context, at, Progress::Abandoned);
+            placing::tell(self.context, at, DispatchProgress::Abandoned);
         }
         known
     }
--- a/crates/node/src/engine_signals/mod.rs
+++ b/crates/node/src/engine_signals/mod.rs
@@ -11,7 +11,7 @@
 use shelfjunction_core::engine_signals::{AnsweredBackoff, EngineSignals};
 use shelfjunction_core::identity::EngineId;
 use shelfjunction_core::membership::subject::SubjectHandle;
-use shelfjunction_core::rate_limit::AnsweredLimit;
+use shelfjunction_core::rate_limit::ResponseLimit;
 use shelfjunction_core::time::MonotonicTime;
 use shelfjunction_threads::lock;
 use std::time::Duration;
@@ -39,7 +39,7 @@
     sent_at: MonotonicTime,
 ) {
     on_answered(context, engine, signals);
-    if signals.rate_limit != AnsweredLimit::Absent {
+    if signals.rate_limit != ResponseLimit::Absent {
         rate_limits::take_answered(context, engine, &signals.rate_limit, sent_at, context.now());
     }
 }
--- a/crates/node/src/peers/directory.rs
+++ b/crates/node/src/peers/directory.rs
@@ -152,7 +152,7 @@
             return Ok(());
         }
         let page = self.directory.nodes_from("", FIRST_PAGE)?;
-        if page.more && !self.whole && !context.peers.is_in_line(&page.entries) {
+        if page.more && !self.whole && !context.peers.may_become_placer(&page.entries) {
             note_listed(context, page.entries, false);
             return Ok(());
         }
@@ -216,7 +216,7 @@
 
 fn note_listed(context: &Context, entries: Vec<NodeEntry>, is_complete: bool) {
     let now = context.now();
-    let in_line = context.peers.is_in_line(&entries);
+    let in_line = context.peers.may_become_placer(&entries);
     let mut known = lock(&context.peers.known);
     let others = entries
         .into_iter()
--- a/crates/node/src/peers/limit_speakers.rs
+++ b/crates/node/src/peers/limit_speakers.rs
@@ -3,7 +3,7 @@
 use super::{Peer, Peers, Placing};
 use shelfjunction_core::identity::NodeId;
 use shelfjunction_core::membership::subject::SubjectHandle;
-use shelfjunction_core::rate_limit::slot_owner::part_of;
+use shelfjunction_core::rate_limit::slot_owner::limit_share;
 use shelfjunction_core::routing::pool::WorkSlice;
 use shelfjunction_core::time::MonotonicTime;
 use shelfjunction_threads::lock;
@@ -83,7 +83,7 @@
             .peers
             .values()
             .filter(|peer| peer.keeps_to_limits(silence, now));
-        part_of(heard.count() as u32 + 1, known.nodes())
+        limit_share(heard.count() as u32 + 1, known.nodes())
     }
 
     /// Silence after which a node may be gone.
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -31,7 +31,7 @@
 use shelfjunction_core::identity::NodeId;
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::placing::config::PlacingSettings;
-use shelfjunction_core::placing::placer_set::{Candidate, Presence};
+use shelfjunction_core::placing::placer_set::{Candidate, CandidateStatus};
 use shelfjunction_core::retry::census::KnownPeer;
 use shelfjunction_core::time::MonotonicTime;
 use shelfjunction_threads::lock;
@@ -129,13 +129,13 @@
     }
 
     /// What speaks for and against it as one that may place.
-    fn presence(&self, now: MonotonicTime) -> Presence {
+    fn presence(&self, now: MonotonicTime) -> CandidateStatus {
         if self.places_now(now) {
-            Presence::Places
+            CandidateStatus::Active
         } else if self.places {
-            Presence::Silent
+            CandidateStatus::Unresponsive
         } else {
-            Presence::Listed
+            CandidateStatus::Listed
         }
     }
 
--- a/crates/node/src/peers/placers.rs
+++ b/crates/node/src/peers/placers.rs
@@ -69,15 +69,15 @@
         let others = known.peers.values();
         let others = others.filter(|peer| peer.may_place(is_complete, silence, now));
         let mut alive: Vec<Candidate> = others.map(Peer::candidate).collect();
-        if self.places_itself(&mut known, now) {
+        if self.should_place(&mut known, now) {
             alive.push(self.own);
         }
-        Placing::Placers(PlacerSet::of(&alive, self.placing.placers))
+        Placing::Placers(PlacerSet::select(&alive, self.placing.placers))
     }
 
     /// Whether this node takes one of the places; one that comes far behind in the line leaves them to others as long as
     /// it hears any.
-    fn places_itself(&self, known: &mut Known, now: MonotonicTime) -> bool {
+    fn should_place(&self, known: &mut Known, now: MonotonicTime) -> bool {
         let hears_any = known.peers.values().any(|peer| peer.heard_lately(now));
         if !known.is_complete || (!known.in_line && hears_any) {
             return false;
@@ -95,7 +95,7 @@
             .peers
             .values()
             .map(|peer| (peer.candidate(), peer.presence(now)));
-        placer_set::places_itself(self.own, others, self.placing.placers, vacant_for)
+        placer_set::should_place(self.own, others, self.placing.placers, vacant_for)
     }
 
     /// Whether no placer was heard for a while, so that this node has to look for others itself.
@@ -114,20 +114,20 @@
         let known = lock(&self.known);
         let mut candidates: Vec<Candidate> = known.peers.values().map(Peer::candidate).collect();
         candidates.push(self.own);
-        let line = PlacerSet::line(&candidates, self.placing.placers);
+        let line = PlacerSet::with_standbys(&candidates, self.placing.placers);
         let often = known.peers.values().filter(|peer| {
             !peer.takes_sparse_words
                 || line.includes(peer.handle)
-                || placers.is_near(self.own.node, peer.handle)
+                || placers.is_primary_contact(self.own.node, peer.handle)
         });
         often.map(|peer| peer.address).collect()
     }
 
     /// Whether this node has to know all others, of which some are known.
-    pub(super) fn is_in_line(&self, some: &[NodeEntry]) -> bool {
+    pub(super) fn may_become_placer(&self, some: &[NodeEntry]) -> bool {
         let others = some.iter().map(NodeEntry::candidate);
         let others: Vec<Candidate> = others.filter(|other| other.node != self.own.node).collect();
-        placer_set::is_in_line(self.own, &others, self.placing.placers)
+        placer_set::may_become_placer(self.own, &others, self.placing.placers)
     }
 
     /// Whether this node chooses engines for others, or each node for itself.
--- a/crates/node/src/placing/answering.rs
+++ b/crates/node/src/placing/answering.rs
@@ -5,12 +5,14 @@
 use crate::belief_log;
 use crate::context::Context;
 use crate::peers::{Datagram, LivenessAnswer, LivenessQuestion};
-use shelfjunction_core::placing::question::{Answer, Placement, Progress, ProgressReport, Question, Wanted};
+use shelfjunction_core::placing::question::{
+    DispatchProgress, Placement, PlacementAnswer, PlacementKind, PlacementQuery, ProgressReport,
+};
 use shelfjunction_threads::lock;
 use std::net::SocketAddr;
 
 /// Answers a question about a request.
-pub(crate) fn answer(context: &Context, question: &Question, from: SocketAddr) {
+pub(crate) fn answer(context: &Context, question: &PlacementQuery, from: SocketAddr) {
     // Without configuration and engines there is nothing to choose from; the node that asked soon asks another.
     if !context.state.is_ready() {
         return log::debug!(from:% = from; "placement_not_answered");
@@ -36,11 +38,11 @@
     }
 }
 
-fn log_given(question: &Question, answer: &Answer, from: SocketAddr) {
-    let wanted = match &question.wanted {
-        Wanted::Admission(_) => "admission",
-        Wanted::Engines { .. } => "engines",
-        Wanted::Output { .. } => "output",
+fn log_given(question: &PlacementQuery, answer: &PlacementAnswer, from: SocketAddr) {
+    let wanted = match &question.kind {
+        PlacementKind::Admission(_) => "admission",
+        PlacementKind::Retry { .. } => "engines",
+        PlacementKind::Decode { .. } => "output",
     };
     let (way, chosen) = match &answer.placement {
         Placement::One(chosen) => ("one", Some(chosen)),
@@ -64,7 +66,7 @@
 
 /// Takes what became of a dispatch.
 pub(crate) fn take_progress(context: &Context, report: &ProgressReport) {
-    if let Progress::Paused { hundredths } = report.progress {
+    if let DispatchProgress::Paused { hundredths } = report.progress {
         log_paused(context, report, hundredths);
     }
     let mut table = lock(&context.placement_table);
--- a/crates/node/src/placing/asking.rs
+++ b/crates/node/src/placing/asking.rs
@@ -3,7 +3,9 @@
 use crate::context::Context;
 use crate::peers::{Datagram, LivenessAnswer, LivenessQuestion, Placing};
 use shelfjunction_core::membership::subject::SubjectHandle;
-use shelfjunction_core::placing::question::{Answer, Progress, ProgressReport, Question, RequestKey};
+use shelfjunction_core::placing::question::{
+    DispatchProgress, PlacementAnswer, PlacementQuery, ProgressReport, RequestKey,
+};
 use shelfjunction_core::time::MonotonicTime;
 use shelfjunction_threads::lock;
 use std::collections::BTreeMap;
@@ -38,7 +40,7 @@
     /// A placer answered.
     Answered {
         /// Its answer.
-        answer: Box<Answer>,
+        answer: Box<PlacementAnswer>,
         /// Which one.
         at: PlacedAt,
         /// Time that it took.
@@ -61,13 +63,13 @@
 
 #[derive(Debug, Default)]
 struct Waiting {
-    answers: BTreeMap<(RequestKey, u32), Option<Answer>>,
+    answers: BTreeMap<(RequestKey, u32), Option<PlacementAnswer>>,
     liveness: BTreeMap<u64, Option<bool>>,
 }
 
 impl Placements {
     /// Takes a placer's answer; one that nobody waits for any more is dropped.
-    pub(crate) fn on_answer(&self, answer: Answer) {
+    pub(crate) fn on_answer(&self, answer: PlacementAnswer) {
         let mut waiting = lock(&self.waiting);
         if let Some(slot) = waiting.answers.get_mut(&(answer.key, answer.step)) {
             *slot = Some(answer);
@@ -88,7 +90,7 @@
     pub(crate) fn ask(
         &self,
         context: &Context,
-        question: &Question,
+        question: &PlacementQuery,
         subject: u64,
         first: Option<SubjectHandle>,
     ) -> Asked {
@@ -97,7 +99,7 @@
             return Asked::Own;
         };
         let silent = |placer: SubjectHandle| self.is_passed_over(placer, now);
-        let mut placers = placers.placers_of(subject, silent, PLACERS_ASKED);
+        let mut placers = placers.placers_for(subject, silent, PLACERS_ASKED);
         if let Some(first) = first.filter(|first| !silent(*first)) {
             placers.retain(|placer| *placer != first);
             placers.insert(0, first);
@@ -131,12 +133,17 @@
             context.metrics.placement("timed_out");
             log::info!(placer:% = address, number = question.key.number; "placer_silent");
             self.pass_over(placer, context.now());
-            tell(context, &at, Progress::Abandoned);
+            tell(context, &at, DispatchProgress::Abandoned);
         }
         Asked::Nobody { asked }
     }
 
-    fn ask_one(&self, context: &Context, question: &Question, address: SocketAddr) -> Option<Answer> {
+    fn ask_one(
+        &self,
+        context: &Context,
+        question: &PlacementQuery,
+        address: SocketAddr,
+    ) -> Option<PlacementAnswer> {
         let bytes = Datagram::Question(Box::new(question.clone())).encode()?;
         let key = (question.key, question.step);
         lock(&self.waiting).answers.insert(key, None);
@@ -191,7 +198,7 @@
 }
 
 /// Tells a placer what became of its answer.
-pub(crate) fn tell(context: &Context, at: &PlacedAt, progress: Progress) {
+pub(crate) fn tell(context: &Context, at: &PlacedAt, progress: DispatchProgress) {
     let report = ProgressReport {
         key: at.key,
         step: at.step,
--- a/crates/node/src/rate_limits/asking.rs
+++ b/crates/node/src/rate_limits/asking.rs
@@ -5,7 +5,7 @@
 use shelfjunction_core::identity::EngineId;
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::rate_limit::slot_owner::owner_of;
-use shelfjunction_core::rate_limit::{LimitNotice, RateLimit, Slot, SlotAnswer, SlotOutcome, SlotQuestion};
+use shelfjunction_core::rate_limit::{LimitNotice, RateLimit, Slot, SlotOutcome, SlotRequest, SlotResponse};
 use shelfjunction_core::routing::pool::EngineState;
 use shelfjunction_core::time::MonotonicTime;
 use shelfjunction_protocol::rate_messages::RateDatagram;
@@ -31,7 +31,7 @@
 
 impl SlotQuestions {
     /// Takes an answer; one that nobody waits for any more is dropped.
-    pub(super) fn on_answer(&self, answer: SlotAnswer) {
+    pub(super) fn on_answer(&self, answer: SlotResponse) {
         if let Some(slot) = lock(&self.waiting).get_mut(&answer.number) {
             *slot = Some(answer.outcome);
             self.answered.notify_all();
@@ -39,7 +39,7 @@
     }
 
     /// Asks an owner and waits for its answer.
-    fn ask(&self, context: &Context, question: &SlotQuestion, owner: SocketAddr) -> Option<SlotOutcome> {
+    fn ask(&self, context: &Context, question: &SlotRequest, owner: SocketAddr) -> Option<SlotOutcome> {
         let bytes = RateDatagram::Question(*question).encode()?;
         lock(&self.waiting).insert(question.number, None);
         context.peers.send(&bytes, owner);
@@ -78,7 +78,7 @@
             sending::receive_notices(context, &[ended], "owner");
             return None;
         }
-        Some(SlotOutcome::NotKept { .. }) | None => Slot::NotInTime(SILENT_KEEPER),
+        Some(SlotOutcome::NotOwner { .. }) | None => Slot::NotInTime(SILENT_KEEPER),
     };
     if let Slot::NotInTime(wait) = taken {
         lock(&context.router).note_slot(notice.engine, wait, context.now());
@@ -91,7 +91,7 @@
         Some(SlotOutcome::Granted { .. }) => "granted",
         Some(SlotOutcome::Denied { .. }) => "denied",
         Some(SlotOutcome::NotLimited { .. }) => "not_limited",
-        Some(SlotOutcome::NotKept { .. }) | None => "no_answer",
+        Some(SlotOutcome::NotOwner { .. }) | None => "no_answer",
     }
 }
 
@@ -108,7 +108,7 @@
         if owner == own {
             return Some(give(context, notice.engine, limit, max_wait, context.now()));
         }
-        let question = SlotQuestion {
+        let question = SlotRequest {
             number: rand::random(),
             notice,
             max_wait_millis: max_wait.as_millis() as u32,
@@ -116,7 +116,7 @@
         let address = context.peers.address_of(owner)?;
         let outcome = context.rate_limits.questions.ask(context, &question, address);
         match outcome {
-            Some(SlotOutcome::NotKept { owner: other }) => owner = other,
+            Some(SlotOutcome::NotOwner { owner: other }) => owner = other,
             Some(_) => return outcome,
             None => {
                 log::info!(owner:% = address; "slot_owner_silent");
@@ -160,13 +160,13 @@
 
 /// Answers another node's question. Only a node that takes itself for the owner gives out slots: two that both do would give
 /// out the limit twice.
-pub(crate) fn answer_question(context: &Context, question: &SlotQuestion, from: SocketAddr) {
+pub(crate) fn answer_question(context: &Context, question: &SlotRequest, from: SocketAddr) {
     let now = context.now();
     sending::receive_notices(context, &[question.notice], "question");
     let owner = owner(context, question.notice.engine, now);
     let max_wait = millis(question.max_wait_millis);
     let outcome = if owner != context.peers.own_handle() {
-        SlotOutcome::NotKept { owner }
+        SlotOutcome::NotOwner { owner }
     } else {
         match believed(context, question.notice, now) {
             Ok(limit) => give(context, question.notice.engine, limit, max_wait, now),
@@ -174,7 +174,7 @@
         }
     };
     log::debug!(number = question.number, from:% = from, outcome:? = outcome; "slot_answered");
-    let answer = SlotAnswer {
+    let answer = SlotResponse {
         number: question.number,
         outcome,
     };
--- a/crates/node/src/rate_limits/mod.rs
+++ b/crates/node/src/rate_limits/mod.rs
@@ -12,7 +12,7 @@
 use crate::context::Context;
 use shelfjunction_core::identity::EngineId;
 use shelfjunction_core::rate_limit::slot_owner::SlotOwner;
-use shelfjunction_core::rate_limit::{AnsweredLimit, LimitChange, RateLimit, SlotAnswer};
+use shelfjunction_core::rate_limit::{LimitChange, RateLimit, ResponseLimit, SlotResponse};
 use shelfjunction_core::routing::pool::EngineState;
 use shelfjunction_core::time::MonotonicTime;
 use shelfjunction_threads::lock;
@@ -32,11 +32,11 @@
 impl RateLimits {
     /// Engines of which this node gave out slots of late.
     pub(crate) fn kept(&self) -> usize {
-        lock(&self.owner).engines()
+        lock(&self.owner).engine_count()
     }
 
     /// Takes the answer to a question of this node.
-    pub(crate) fn on_answer(&self, answer: SlotAnswer) {
+    pub(crate) fn on_answer(&self, answer: SlotResponse) {
         self.questions.on_answer(answer);
     }
 
@@ -50,7 +50,7 @@
 pub(crate) fn take_answered(
     context: &Context,
     engine: &EngineId,
-    said: &AnsweredLimit,
+    said: &ResponseLimit,
     sent_at: MonotonicTime,
     now: MonotonicTime,
 ) {
@@ -60,11 +60,11 @@
         (change, router.engine(engine).and_then(EngineState::rate_limit))
     };
     match (change, said) {
-        (LimitChange::Nothing, _) => {}
-        (LimitChange::Unreadable, AnsweredLimit::Unreadable(field)) => {
+        (LimitChange::Unchanged, _) => {}
+        (LimitChange::Invalid, ResponseLimit::Invalid(field)) => {
             log::warn!(engine = engine.as_str(), field = field.as_str(); "engine_limit_unreadable");
         }
-        (LimitChange::Limit | LimitChange::Unreadable, _) => {
+        (LimitChange::Changed | LimitChange::Invalid, _) => {
             log_limit(engine, limit, "answer");
             context.rate_limits.note_news(context);
         }
--- a/crates/protocol/src/node_words.rs
+++ b/crates/protocol/src/node_words.rs
@@ -10,7 +10,7 @@
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::metering::UnixTime;
 use shelfjunction_core::metering::counter::UsageWord;
-use shelfjunction_core::placing::question::{Answer, ProgressReport, Question};
+use shelfjunction_core::placing::question::{PlacementAnswer, PlacementQuery, ProgressReport};
 use shelfjunction_core::quarantine::word::{SuspectWord, TrialWord};
 use shelfjunction_core::retry::census::SharingWord;
 use shelfjunction_core::routing::pool::{
@@ -131,9 +131,9 @@
     /// A node's word of its work.
     Work(Box<WorkMessage>),
     /// Asks a placer about a request.
-    Question(Box<Question>),
+    Question(Box<PlacementQuery>),
     /// A placer's answer.
-    Answer(Box<Answer>),
+    Answer(Box<PlacementAnswer>),
     /// Tells a placer what became of a request.
     Progress(ProgressReport),
     /// Asks a placer about an engine.
--- a/crates/protocol/src/rate_messages.rs
+++ b/crates/protocol/src/rate_messages.rs
@@ -7,7 +7,7 @@
 use super::datagram_format;
 use serde::{Deserialize, Serialize};
 use shelfjunction_core::identity::NodeId;
-use shelfjunction_core::rate_limit::{LimitNotice, SlotAnswer, SlotQuestion};
+use shelfjunction_core::rate_limit::{LimitNotice, SlotRequest, SlotResponse};
 
 /// First byte of such a datagram.
 const FORMAT: u8 = 64;
@@ -34,9 +34,9 @@
     /// What a node knows of limits.
     Limits(Box<LimitMessage>),
     /// Asks an engine's owner for a slot.
-    Question(SlotQuestion),
+    Question(SlotRequest),
     /// A owner's answer.
-    Answer(SlotAnswer),
+    Answer(SlotResponse),
 }
 
 impl RateDatagram {
--- a/crates/protocol/tests/rate_messages.rs
+++ b/crates/protocol/tests/rate_messages.rs
@@ -5,14 +5,14 @@
 use proptest::prelude::*;
 use shelfjunction_core::identity::NodeId;
 use shelfjunction_core::membership::subject::SubjectHandle;
-use shelfjunction_core::rate_limit::{LimitNotice, RateLimit, SlotAnswer, SlotOutcome, SlotQuestion};
+use shelfjunction_core::rate_limit::{LimitNotice, RateLimit, SlotOutcome, SlotRequest, SlotResponse};
 use shelfjunction_protocol::node_words::{Datagram, MOST_BYTES};
 use shelfjunction_protocol::rate_messages::{LimitMessage, MOST_NOTICES, RateDatagram};
 
 fn notice(number: u64) -> LimitNotice {
     LimitNotice {
         engine: SubjectHandle::of_number(number),
-        limit: RateLimit::of(1.7),
+        limit: RateLimit::new(1.7),
         age_millis: u32::MAX,
         slot_wait_millis: u32::MAX,
     }
@@ -27,12 +27,12 @@
             .map(|number| notice(u64::MAX - number))
             .collect(),
     };
-    let question = SlotQuestion {
+    let question = SlotRequest {
         number: 9,
         notice: notice(3),
         max_wait_millis: 300,
     };
-    let answer = SlotAnswer {
+    let answer = SlotResponse {
         number: 9,
         outcome: SlotOutcome::Denied { wait_millis: 700 },
     };
