--- a/crates/core/src/routing/pool/pace/mod.rs
+++ b/crates/core/src/routing/pool/pace/mod.rs
@@ -27,7 +27,7 @@
 pub use report::{LastingPaceReport, PaceReports, ReportedPace};
 pub use router::{PaceChange, PaceSpread};
 
-use super::engine::ToldLoad;
+use super::engine::ReportedLoad;
 use crate::time::MonotonicTime;
 use momentary::PaceTraits;
 use serde::{Deserialize, Serialize};
@@ -52,7 +52,7 @@
 const BELIEVED_PERCENT: (u32, u32) = (10, 5_000);
 
 /// The momentary figure that an engine told, as a factor; absent where it told none or nonsense.
-pub(super) fn reported_pace(told: &ToldLoad) -> Option<f64> {
+pub(super) fn reported_pace(told: &ReportedLoad) -> Option<f64> {
     let (least, most) = BELIEVED_PERCENT;
     let percent = told.work_time_percent?;
     (least..=most)
