--- a/crates/core/src/placing/placement_table.rs
+++ b/crates/core/src/placing/placement_table.rs
@@ -15,7 +15,7 @@
 use crate::rate_limit::max_wait::Waiting;
 use crate::routing::pool::{
     Admission, LATE_RANK, OutputWay, PoolAdmission, PoolEngine, PoolQuery, PoolRoute, PoolRouter, PoolTicket,
-    PrefixBlock, Timing,
+    PrefixBlock, RequestTiming,
 };
 use crate::sharing::Charge;
 use crate::time::MonotonicTime;
@@ -217,7 +217,7 @@
         &mut self,
         router: &mut PoolRouter,
         key: RequestKey,
-        timing: Timing,
+        timing: RequestTiming,
         settings: &PoolAdmission,
         now: MonotonicTime,
     ) -> (AdmissionVerdict, Placement) {
@@ -241,7 +241,7 @@
             admission: decision.admission,
             expected: decision.expected,
             error: decision.error as f32,
-            turned_away: decision.turned_away as f32,
+            turned_away: decision.late_or_refused_share as f32,
             standing: decision.standing,
         };
         (verdict, self.place(router, key, decision.route, now))
@@ -400,7 +400,7 @@
                 router.on_refused(&ticket, *reason, now);
             }
             Progress::Broken => router.on_broken(&ticket, now),
-            Progress::Silent => router.on_silent(&ticket, now),
+            Progress::Silent => router.on_silence(&ticket, now),
             Progress::Abandoned => {
                 self.take_back_charge(router, now);
                 router.on_abandoned(&ticket);
--- a/crates/core/src/placing/question.rs
+++ b/crates/core/src/placing/question.rs
@@ -4,7 +4,7 @@
 use crate::forwarding::PoolId;
 use crate::identity::ZoneId;
 use crate::membership::subject::SubjectHandle;
-use crate::routing::pool::{Admission, PromptShape, RequestTerms, Timing, ToldLoad};
+use crate::routing::pool::{Admission, PromptShape, RequestTerms, RequestTiming, ToldLoad};
 use crate::sharing::Standing;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Wanted {
     /// Whether the request is taken, and its engines.
-    Admission(Timing),
+    Admission(RequestTiming),
     /// Engines anew, without those that failed it.
     Engines {
         /// Engines that failed the request.
--- a/crates/core/src/routing/pool/admission.rs
+++ b/crates/core/src/routing/pool/admission.rs
@@ -99,13 +99,13 @@
 
 /// What of a request decides beside the engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Timing {
+pub struct RequestTiming {
     /// Time within which the first event is worth most.
     pub target: Duration,
     /// Time that the caller still waits.
-    pub left: Duration,
+    pub remaining: Duration,
     /// Whether the caller has come back after a refusal.
-    pub returned: bool,
+    pub is_retry: bool,
 }
 
 /// What is done with a request.
@@ -134,11 +134,11 @@
     /// Factor by which expectations are exceeded.
     pub error: f64,
     /// Share of the requests that were turned away of late: served behind others or refused.
-    pub turned_away: f64,
+    pub late_or_refused_share: f64,
     /// Whether it can't be in time by what was expected, whoever asks.
-    pub cannot_be_in_time: bool,
+    pub misses_target: bool,
     /// The queue that it met, as part of the longest with which it could be in time; absent where none would do.
-    pub queue_part: Option<f64>,
+    pub queue_share: Option<f64>,
     /// Tokens that it takes to read and to write.
     pub tokens: f64,
     /// How its tenant and its kind stand.
@@ -162,8 +162,8 @@
 /// Whether a prompt that could not be in time without a queue either is one of those that go ahead all the same, so that
 /// such prompts are not starved: drawn with the same part of them at every placer.
 fn goes_ahead(decision: &AdmissionDecision, query: &PoolQuery<'_>, settings: &SharingSettings) -> bool {
-    let is_large = decision.queue_part.is_none() && decision.standing.contended;
-    let due = settings.large_prompts * (1.0 - decision.turned_away);
+    let is_large = decision.queue_share.is_none() && decision.standing.contended;
+    let due = settings.large_prompts * (1.0 - decision.late_or_refused_share);
     is_large && fraction(mix(query.draw)) < due
 }
 
@@ -177,7 +177,7 @@
     pub fn admit(
         &self,
         query: &PoolQuery<'_>,
-        timing: Timing,
+        timing: RequestTiming,
         settings: &PoolAdmission,
         now: MonotonicTime,
     ) -> AdmissionDecision {
@@ -189,9 +189,9 @@
             route,
             expected: Duration::ZERO,
             error: speeds.error.factor(care),
-            turned_away: speeds.turned_away.share(),
-            cannot_be_in_time: false,
-            queue_part: None,
+            late_or_refused_share: speeds.turned_away.share(),
+            misses_target: false,
+            queue_share: None,
             tokens: 0.0,
             standing: Standing::default(),
         };
@@ -204,8 +204,8 @@
         let allowance = Duration::from_millis(settings.allowance_millis);
         let allowed = timing.target.saturating_sub(allowance).as_secs_f64();
         let bearable = allowed - (expected.seconds - expected.queue) * decision.error;
-        decision.queue_part = (bearable > 0.0).then(|| expected.queue * decision.error / bearable);
-        decision.cannot_be_in_time = expected.seconds * decision.error > allowed;
+        decision.queue_share = (bearable > 0.0).then(|| expected.queue * decision.error / bearable);
+        decision.misses_target = expected.seconds * decision.error > allowed;
         decision.standing = self.standing(query, settings, now);
         let longer = f64::from(decision.standing.shortened) - 1.0;
         let counted = (expected.seconds + expected.queue * longer) * decision.error;
@@ -227,16 +227,16 @@
         decision: &mut AdmissionDecision,
         excess: f64,
         query: &PoolQuery<'_>,
-        timing: Timing,
+        timing: RequestTiming,
         settings: &PoolAdmission,
         now: MonotonicTime,
     ) {
-        if timing.returned && !settings.late {
+        if timing.is_retry && !settings.late {
             return;
         }
         // Where it could not be in time without a queue either, no time to come back is any better.
-        let may_refuse = settings.sharing.refuses && decision.queue_part.is_some();
-        let refuses_now = may_refuse && decision.standing.is_beyond() && !timing.returned;
+        let may_refuse = settings.sharing.refuses && decision.queue_share.is_some();
+        let refuses_now = may_refuse && decision.standing.is_beyond() && !timing.is_retry;
         if settings.late && !refuses_now {
             let late_query = PoolQuery {
                 rank: LATE_RANK,
@@ -245,8 +245,8 @@
             let (late_route, late_expected) = self.choose_expecting(&late_query, now);
             let expected = decision.expected.as_secs_f64();
             let late_expected = late_expected.map_or(expected, |late| late.seconds);
-            let most = timing.left.as_secs_f64() * settings.late_share;
-            if timing.returned || late_expected <= most {
+            let most = timing.remaining.as_secs_f64() * settings.late_share;
+            if timing.is_retry || late_expected <= most {
                 decision.admission = Admission::Late;
                 decision.route = late_route;
                 decision.expected = Duration::from_secs_f64(late_expected);
@@ -311,7 +311,7 @@
         &mut self,
         query: &PoolQuery<'_>,
         decision: &AdmissionDecision,
-        timing: Timing,
+        timing: RequestTiming,
         settings: &PoolAdmission,
         now: MonotonicTime,
     ) -> Option<Charge> {
@@ -320,7 +320,7 @@
         let is_turned_away = decision.admission != Admission::InTime;
         speeds
             .turned_away
-            .observe(is_turned_away && decision.cannot_be_in_time);
+            .observe(is_turned_away && decision.misses_target);
         if matches!(decision.admission, Admission::Refused { .. }) {
             // What it would have had to have read is wanted all the same.
             let tokens = query.prompt.map_or(0, |prompt| prompt.tokens);
@@ -332,11 +332,11 @@
         if tenant.is_none() && !sharing.kinds {
             return None;
         }
-        if let Some(part) = decision.queue_part {
+        if let Some(part) = decision.queue_share {
             self.sharing.on_queue(query.pool, part, sharing, now);
         }
         let is_admitted = decision.admission == Admission::InTime;
-        if sharing.kinds && !is_admitted && !timing.returned {
+        if sharing.kinds && !is_admitted && !timing.is_retry {
             let kind = usize::from(query.terms.kind_rank);
             self.sharing
                 .on_outcome(query.pool, kind, false, sharing.window(), now);
@@ -345,7 +345,7 @@
             tenant: tenant?,
             tokens: decision.tokens,
             is_admitted,
-            came_back: timing.returned,
+            came_back: timing.is_retry,
         };
         Some(self.sharing.on_request(query.pool, request, sharing, now))
     }
--- a/crates/core/src/routing/pool/choice.rs
+++ b/crates/core/src/routing/pool/choice.rs
@@ -207,7 +207,9 @@
         let (tokens, holder) = self.best_holder(query, now)?;
         let worth_it = tokens >= held + LEAST_FETCH
             && holder.engine.id != *engine
-            && self.paths.moves(&reader.engine.zone, &holder.engine.zone);
+            && self
+                .paths
+                .allows_transfer(&reader.engine.zone, &holder.engine.zone);
         worth_it.then_some(holder.engine.address)
     }
 
@@ -232,7 +234,7 @@
             state.engine.pool == *query.pool
                 && state.engine.stage != EngineStage::Whole
                 && state.can_be_fetched_from(now)
-                && self.paths.moves(query.zone, &state.engine.zone)
+                && self.paths.allows_transfer(query.zone, &state.engine.zone)
         });
         holders
             .map(|state| (state.prefixes.held_tokens(query.prefixes), state))
--- a/crates/core/src/routing/pool/cordoned.rs
+++ b/crates/core/src/routing/pool/cordons.rs
@@ -9,7 +9,7 @@
 
 /// A cordon on this process's clock.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct CordonInForce {
+pub struct ActiveCordon {
     /// What is left alone.
     pub target: CordonTarget,
     /// Until when.
@@ -29,13 +29,13 @@
 
 /// Why an engine gets no new work, the first cause that holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LeftAlone {
+pub enum AvoidanceReason {
     /// The platform lists it no longer, and there is no doubt that it has ended.
     Gone,
     /// It is about to leave.
     Leaving,
     /// It has been ordered to take another stage.
-    Changing(EngineStage),
+    ChangingStage(EngineStage),
     /// An operator has cordoned it, for so long still.
     Cordoned {
         /// Time until it lifts itself.
@@ -44,7 +44,7 @@
         forced: bool,
     },
     /// Its zone was seen to take spot engines back a moment ago.
-    TakenBack,
+    ZoneReclaimed,
     /// It broke or refused work, for so long still.
     Paused {
         /// Time until it is tried again.
@@ -64,34 +64,34 @@
     }
 
     /// Why it gets no new work; absent where it does.
-    pub fn left_alone(&self, now: MonotonicTime) -> Option<LeftAlone> {
+    pub fn avoidance_reason(&self, now: MonotonicTime) -> Option<AvoidanceReason> {
         if self.has_ended(now) {
-            return Some(LeftAlone::Gone);
+            return Some(AvoidanceReason::Gone);
         }
         if self.engine.leaving {
-            return Some(LeftAlone::Leaving);
+            return Some(AvoidanceReason::Leaving);
         }
         if let Some(stage) = self.ordered_stage(now) {
-            return Some(LeftAlone::Changing(stage));
+            return Some(AvoidanceReason::ChangingStage(stage));
         }
         if self.cordon.until > now {
-            return Some(LeftAlone::Cordoned {
+            return Some(AvoidanceReason::Cordoned {
                 remaining: self.cordon.until.since(now),
                 forced: self.is_cordoned_by_force(now),
             });
         }
         if self.is_taken_back(now) {
-            return Some(LeftAlone::TakenBack);
+            return Some(AvoidanceReason::ZoneReclaimed);
         }
         self.health
             .paused_for(now)
-            .map(|remaining| LeftAlone::Paused { remaining })
+            .map(|remaining| AvoidanceReason::Paused { remaining })
     }
 }
 
 impl PoolRouter {
     /// Takes all cordons that are in force, in place of those before.
-    pub fn on_cordons(&mut self, cordons: Vec<CordonInForce>) {
+    pub fn on_cordons(&mut self, cordons: Vec<ActiveCordon>) {
         self.cordons = cordons;
         for state in self.engines.values_mut() {
             state.cordon = of_all(&self.cordons, state);
@@ -121,7 +121,7 @@
 }
 
 /// All cordons that cover an engine, taken together.
-fn of_all(cordons: &[CordonInForce], state: &EngineState) -> EngineCordon {
+fn of_all(cordons: &[ActiveCordon], state: &EngineState) -> EngineCordon {
     let engine = &state.engine;
     let covering = cordons
         .iter()
--- a/crates/core/src/routing/pool/cost.rs
+++ b/crates/core/src/routing/pool/cost.rs
@@ -199,17 +199,17 @@
             return 0.0;
         }
         let forecast = PauseForecast {
-            event_seconds: self.speeds.pace.seconds(),
-            reading: self.speeds.decode,
+            event_interval_seconds: self.speeds.pace.seconds(),
+            prefill: self.speeds.decode,
             work_factor: state.work_factor(self.now),
-            read_lately: state.read_lately.tokens(self.now),
+            recent_prefill_tokens: state.read_lately.tokens(self.now),
         };
         let (computed, beside) = match reads {
             Some(computed) => (computed, work.prompt_tokens_behind(query.rank)),
             None => (0.0, work.all_prompt_tokens()),
         };
-        let made_late = forecast.streams_made_late(work, computed, self.wait_apart);
-        let late = made_late + forecast.own_lateness(beside, query.terms.longest_pause);
+        let made_late = forecast.added_late_streams(work, computed, self.wait_apart);
+        let late = made_late + forecast.own_late_probability(beside, query.terms.longest_pause);
         self.weights.pause_seconds * late
     }
 
--- a/crates/core/src/routing/pool/dispatches.rs
+++ b/crates/core/src/routing/pool/dispatches.rs
@@ -103,7 +103,7 @@
         state.health.succeeded();
         state.breaks.answered();
         note_held(state, prefixes, &mut self.news, now);
-        self.paths.note_answer(&ticket.from, &state.engine.zone, now);
+        self.paths.record_answer(&ticket.from, &state.engine.zone, now);
         let work = state.sent.remove(&ticket.number);
         if let Some(work) = work {
             self.observe_reading(&ticket.engine, &work, |speeds| &mut speeds.prefill, now);
@@ -123,7 +123,7 @@
             return;
         };
         note_held(state, prefixes, &mut self.news, now);
-        self.paths.note_answer(&ticket.from, &state.engine.zone, now);
+        self.paths.record_answer(&ticket.from, &state.engine.zone, now);
         let Some(work) = state.sent.get_mut(&ticket.number) else {
             return;
         };
@@ -184,7 +184,7 @@
             // Its answer came after it was sent; when, only a series of events has told before.
             if let Some(work) = work {
                 self.paths
-                    .note_answer(&ticket.from, &state.engine.zone, work.sent_at);
+                    .record_answer(&ticket.from, &state.engine.zone, work.sent_at);
             }
         }
     }
@@ -202,7 +202,7 @@
             state.sent.remove(&ticket.number);
             state.heard(now);
             state.health.refused(reason, now);
-            self.paths.note_answer(&ticket.from, &state.engine.zone, now);
+            self.paths.record_answer(&ticket.from, &state.engine.zone, now);
         }
     }
 
@@ -298,7 +298,7 @@
             state
                 .read_lately
                 .observe(state.work(now).all_prompt_tokens(), now);
-            self.paths.note_sent(query.zone, &state.engine.zone, now);
+            self.paths.record_request(query.zone, &state.engine.zone, now);
         }
         PoolTicket {
             engine: engine.clone(),
--- a/crates/core/src/routing/pool/engine.rs
+++ b/crates/core/src/routing/pool/engine.rs
@@ -1,10 +1,10 @@
 //! What is known of one engine of a pool.
 
 use super::beliefs::{PeerWork, RANKS};
-use super::cordoned::EngineCordon;
+use super::cordons::EngineCordon;
 use super::dispatches::OutputWay;
 use super::pace::EnginePace;
-use super::pauses::RecentReading;
+use super::pauses::RecentPrefill;
 use super::prefix::PrefixBelief;
 use super::risk::BreakShare;
 use super::speed::ReadingSpeed;
@@ -243,7 +243,7 @@
     /// Factor by which it answers slower than expected; one when it does not. Decides where `pace` is not in use.
     pub(super) slowness: f64,
     /// Prompt tokens that it had to read at once of late.
-    pub(super) read_lately: RecentReading,
+    pub(super) read_lately: RecentPrefill,
     /// Its lasting speed and how its machine stands.
     pub(super) pace: EnginePace,
 }
@@ -277,7 +277,7 @@
             limit: LimitBelief::default(),
             peers: BTreeMap::new(),
             slowness: 1.0,
-            read_lately: RecentReading::default(),
+            read_lately: RecentPrefill::default(),
             pace: EnginePace::default(),
         }
     }
--- a/crates/core/src/routing/pool/limits.rs
+++ b/crates/core/src/routing/pool/limits.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// Time for which a node goes on sending of a limit that an answer to it has named.
-const TOLD_AFTER_ANSWER: Duration = Duration::from_secs(2);
+const OWN_LIMIT_NOTICE_DURATION: Duration = Duration::from_secs(2);
 
 /// Time in which a change of the rate of requests shows by two thirds.
 const RATE_WINDOW: Duration = Duration::from_secs(5);
@@ -99,19 +99,19 @@
     }
 
     /// Engines that name a limit and are listed.
-    pub fn limited(&self) -> impl Iterator<Item = &EngineState> {
+    pub fn rate_limited_engines(&self) -> impl Iterator<Item = &EngineState> {
         self.engines
             .values()
             .filter(|state| state.is_listed() && state.rate_limit().is_some())
     }
 
     /// What other nodes are told of limits; of those that an answer to this node named, or of all.
-    pub fn limit_notices(&self, named_here: bool, now: MonotonicTime) -> Vec<LimitNotice> {
+    pub fn limit_notices(&self, observed_here: bool, now: MonotonicTime) -> Vec<LimitNotice> {
         let named = self
             .engines
             .values()
             .filter(|state| state.is_listed())
-            .filter(|state| !named_here || state.limit.is_named_here(TOLD_AFTER_ANSWER, now));
+            .filter(|state| !observed_here || state.limit.is_named_here(OWN_LIMIT_NOTICE_DURATION, now));
         named.filter_map(|state| state.limit_notice(now)).collect()
     }
 
@@ -122,7 +122,7 @@
     }
 
     /// Part of what falls to an engine, of the requests of all nodes to engines of its stage, that its limit lets through.
-    pub(super) fn part_under_limit(&self, state: &EngineState, now: MonotonicTime) -> f64 {
+    pub(super) fn share_within_limit(&self, state: &EngineState, now: MonotonicTime) -> f64 {
         let Some(limit) = state.rate_limit() else {
             return 1.0;
         };
--- a/crates/core/src/routing/pool/mod.rs
+++ b/crates/core/src/routing/pool/mod.rs
@@ -11,7 +11,7 @@
 mod beliefs;
 mod beside;
 mod choice;
-mod cordoned;
+mod cordons;
 pub mod cost;
 mod demand;
 mod dispatches;
@@ -34,16 +34,16 @@
 mod risk;
 mod router;
 mod signals;
-mod silences;
 mod speed;
+mod unresponsive_engines;
 mod weights;
 mod working_set;
 
-pub use admission::{Admission, AdmissionDecision, LATE_RANK, PoolAdmission, Timing};
+pub use admission::{Admission, AdmissionDecision, LATE_RANK, PoolAdmission, RequestTiming};
 pub use beliefs::{PeerWork, PrefixNews, RANKS, SilenceWord, WorkSlice, rank_of};
 pub use beside::WorkBeside;
 pub use choice::{EngineBeliefs, Explanation, PoolRoute};
-pub use cordoned::{CordonInForce, LeftAlone};
+pub use cordons::{ActiveCordon, AvoidanceReason};
 pub use cost::shared_prefixes;
 pub use dispatches::{OutputWay, PoolTicket};
 pub use engine::{EngineStage, EngineState, PoolEngine, ToldLoad, WorkAtEngine};
@@ -54,14 +54,14 @@
     EnginePace, EnginePaceUse, FigurePersistence, LastingPace, LastingWord, MomentaryPace, PaceChange,
     PaceSpread, PaceWords, PoolPace, ToldFigure,
 };
-pub use paths::{PathBelief, PathChange, Paths};
+pub use paths::{PathChange, PathState, Paths};
 pub use pool_speeds::PoolSpeeds;
 pub use prefix::PrefixBelief;
 pub use query::{PoolQuery, PrefixBlock, PromptPart, PromptShape, RequestTerms};
 pub use recent::{ListNews, RecentChanges};
 pub use router::PoolRouter;
 pub use signals::NotAccepting;
-pub use silences::EngineChange;
 pub use speed::ReadingSpeed;
+pub use unresponsive_engines::EngineAvailabilityChange;
 pub use weights::PoolWeights;
 pub use working_set::{WorkingSetChange, WorkingSetSettings};
--- a/crates/core/src/routing/pool/neighbours.rs
+++ b/crates/core/src/routing/pool/neighbours.rs
@@ -108,7 +108,7 @@
                 memory_tokens: work.output_tokens,
                 places: f64::from(state.engine.places),
                 capacity_tokens: state.prefixes.capacity_tokens(),
-                part: self.part_under_limit(state, now),
+                part: self.share_within_limit(state, now),
             }
         });
         let speed = self.speeds(pool).prefill;
@@ -141,7 +141,7 @@
                 state.prefixes.note_read(&one.prefixes, now);
                 let engine = returns.then(|| state.engine.id.clone());
                 if let Some(engine) = engine {
-                    self.note_engine_change(engine, None, true);
+                    self.record_availability_change(engine, None, true);
                 }
             }
         }
--- a/crates/core/src/routing/pool/paths.rs
+++ b/crates/core/src/routing/pool/paths.rs
@@ -51,48 +51,48 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PathChange {
     /// One of its zones.
-    pub one: ZoneId,
+    pub zone: ZoneId,
     /// The other; absent: every other.
-    pub other: Option<ZoneId>,
+    pub other_zone: Option<ZoneId>,
     /// What is believed now.
-    pub belief: PathBelief,
+    pub state: PathState,
     /// Engines that fell silent since the last answer.
     pub silent_engines: usize,
     /// Time since the belief before, or since the last answer where a path has become suspected.
-    pub after: Duration,
+    pub elapsed: Duration,
 }
 
 /// What is believed of a path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PathBelief {
+pub enum PathState {
     /// What is sent arrives.
     Trusted,
     /// Nothing seems to arrive.
     Suspected,
     /// An answer has come; load returns.
-    Returns,
+    Recovering,
 }
 
-impl PathBelief {
+impl PathState {
     /// Name for logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Trusted => "trusted",
             Self::Suspected => "suspected",
-            Self::Returns => "returns",
+            Self::Recovering => "returns",
         }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
+enum Phase {
     Trusted,
     Suspected {
         since: MonotonicTime,
         next_trial_at: MonotonicTime,
         trial_after: Duration,
     },
-    Returns {
+    Recovering {
         returning: Returning,
     },
 }
@@ -129,16 +129,16 @@
 
 #[derive(Clone, Debug)]
 struct Path {
-    one: ZoneId,
+    zone: ZoneId,
     /// Absent: the paths to all other zones together.
-    other: Option<ZoneId>,
+    other_zone: Option<ZoneId>,
     /// When the last answer came over it, at the earliest.
     answered_at: MonotonicTime,
     /// Mean time between two answers, in seconds; absent until there were two.
     mean_gap: Option<f64>,
     /// Engines that fell silent since then.
     silent: Vec<Silence>,
-    state: State,
+    phase: Phase,
 }
 
 /// What is believed of all paths; a fleet has few zones, so they are searched one by one.
@@ -149,11 +149,11 @@
 }
 
 /// Most changes that wait to be taken.
-const MOST_CHANGES: usize = 64;
+const MAX_PENDING_CHANGES: usize = 64;
 
 impl Paths {
     /// Notes that an engine in zone `to` did not answer a request from zone `from`; `engines` are known there.
-    pub fn note_silent(
+    pub fn record_silence(
         &mut self,
         from: &ZoneId,
         to: &ZoneId,
@@ -165,14 +165,14 @@
         self.learn(from, to);
         let silence = Silence::new(from, to, engine, sent_at, now);
         let paths = self.paths.iter_mut().filter(|path| path.concerns(from, to));
-        let changes = paths.filter_map(|path| path.on_silent(&silence, engines, now));
+        let changes = paths.filter_map(|path| path.on_silence(&silence, engines, now));
         self.changes.extend(changes);
-        self.changes.truncate(MOST_CHANGES);
+        self.changes.truncate(MAX_PENDING_CHANGES);
     }
 
     /// The same from another placer's word. Answers are not told, so it counts only for the paths of a zone to all
     /// others, over which this placer sees most answers of its own, and only where those have stopped.
-    pub fn note_told_silent(
+    pub fn record_reported_silence(
         &mut self,
         from: &ZoneId,
         to: &ZoneId,
@@ -184,23 +184,23 @@
         self.learn(from, to);
         let silence = Silence::new(from, to, engine, sent_at, now);
         let paths = self.paths.iter_mut().filter(|path| path.concerns(from, to));
-        let to_all = paths.filter(|path| path.other.is_none() && path.has_gone_quiet(now));
-        let changes = to_all.filter_map(|path| path.on_silent(&silence, engines, now));
+        let to_all = paths.filter(|path| path.other_zone.is_none() && path.has_gone_quiet(now));
+        let changes = to_all.filter_map(|path| path.on_silence(&silence, engines, now));
         self.changes.extend(changes);
-        self.changes.truncate(MOST_CHANGES);
+        self.changes.truncate(MAX_PENDING_CHANGES);
     }
 
     /// Notes that an answer has come from zone `to` for a request from zone `from`, at `now` or later.
-    pub fn note_answer(&mut self, from: &ZoneId, to: &ZoneId, now: MonotonicTime) {
+    pub fn record_answer(&mut self, from: &ZoneId, to: &ZoneId, now: MonotonicTime) {
         self.learn(from, to);
         let paths = self.paths.iter_mut().filter(|path| path.concerns(from, to));
         let changes = paths.filter_map(|path| path.on_answer(now));
         self.changes.extend(changes);
-        self.changes.truncate(MOST_CHANGES);
+        self.changes.truncate(MAX_PENDING_CHANGES);
     }
 
     /// Notes that a request is sent: over a suspected path it is a trial, and the next one has to wait.
-    pub fn note_sent(&mut self, from: &ZoneId, to: &ZoneId, now: MonotonicTime) {
+    pub fn record_request(&mut self, from: &ZoneId, to: &ZoneId, now: MonotonicTime) {
         let paths = self.paths.iter_mut().filter(|path| path.concerns(from, to));
         paths.for_each(|path| path.on_sent(now));
     }
@@ -215,12 +215,12 @@
         may_be_trial: bool,
         now: MonotonicTime,
     ) -> bool {
-        let mut paths = self.paths.iter().filter(|path| path.state != State::Trusted);
+        let mut paths = self.paths.iter().filter(|path| path.phase != Phase::Trusted);
         paths.all(|path| !path.concerns(from, to) || path.admits(drawn, may_be_trial, now))
     }
 
     /// Whether a KV cache may be moved between two zones.
-    pub fn moves(&self, one: &ZoneId, other: &ZoneId) -> bool {
+    pub fn allows_transfer(&self, one: &ZoneId, other: &ZoneId) -> bool {
         let mut suspected = self.paths.iter().filter(|path| path.is_suspected());
         !suspected.any(|path| path.concerns(one, other))
     }
@@ -235,14 +235,14 @@
         if from == to {
             return;
         }
-        let is_known = |path: &Path| path.other.is_some() && path.concerns(from, to);
+        let is_known = |path: &Path| path.other_zone.is_some() && path.concerns(from, to);
         if self.paths.iter().any(is_known) {
             return;
         }
         self.paths.push(Path::new(from, Some(to)));
         for zone in [from, to] {
             let mut known = self.paths.iter();
-            if !known.any(|path| path.other.is_none() && path.one == *zone) {
+            if !known.any(|path| path.other_zone.is_none() && path.zone == *zone) {
                 self.paths.push(Path::new(zone, None));
             }
         }
@@ -250,14 +250,14 @@
 }
 
 impl Path {
-    fn new(one: &ZoneId, other: Option<&ZoneId>) -> Self {
+    fn new(zone: &ZoneId, other_zone: Option<&ZoneId>) -> Self {
         Self {
-            one: one.clone(),
-            other: other.cloned(),
+            zone: zone.clone(),
+            other_zone: other_zone.cloned(),
             answered_at: MonotonicTime::default(),
             mean_gap: None,
             silent: Vec::new(),
-            state: State::Trusted,
+            phase: Phase::Trusted,
         }
     }
 
@@ -266,73 +266,73 @@
         if from == to {
             return false;
         }
-        match &self.other {
-            None => self.one == *from || self.one == *to,
-            Some(other) => (self.one == *from && *other == *to) || (self.one == *to && *other == *from),
+        match &self.other_zone {
+            None => self.zone == *from || self.zone == *to,
+            Some(other) => (self.zone == *from && *other == *to) || (self.zone == *to && *other == *from),
         }
     }
 
     fn is_suspected(&self) -> bool {
-        matches!(self.state, State::Suspected { .. })
+        matches!(self.phase, Phase::Suspected { .. })
     }
 
     fn admits(&self, drawn: u64, may_be_trial: bool, now: MonotonicTime) -> bool {
-        match self.state {
-            State::Trusted => true,
-            State::Suspected { next_trial_at, .. } => may_be_trial && now >= next_trial_at,
-            State::Returns { returning, .. } => returning.admits(drawn, now),
+        match self.phase {
+            Phase::Trusted => true,
+            Phase::Suspected { next_trial_at, .. } => may_be_trial && now >= next_trial_at,
+            Phase::Recovering { returning, .. } => returning.admits(drawn, now),
         }
     }
 
-    fn on_silent(&mut self, silence: &Silence, engines: usize, now: MonotonicTime) -> Option<PathChange> {
+    fn on_silence(&mut self, silence: &Silence, engines: usize, now: MonotonicTime) -> Option<PathChange> {
         if self.answered_at > silence.sent_at {
             return None;
         }
         let is_kept = |other: &Silence| other.engine != silence.engine && now.since(other.at) < WITHIN;
         self.silent.retain(is_kept);
         self.silent.push(silence.clone());
-        let needed = match self.state {
-            State::Suspected { .. } => return None,
-            State::Returns { .. } => SILENT_ENGINES_AGAIN,
-            State::Trusted => SILENT_ENGINES.min(engines.max(SILENT_ENGINES_AGAIN)),
+        let needed = match self.phase {
+            Phase::Suspected { .. } => return None,
+            Phase::Recovering { .. } => SILENT_ENGINES_AGAIN,
+            Phase::Trusted => SILENT_ENGINES.min(engines.max(SILENT_ENGINES_AGAIN)),
         };
         if self.silent.len() < needed || !self.is_seen_from_enough_zones() {
             return None;
         }
-        self.state = State::Suspected {
+        self.phase = Phase::Suspected {
             since: now,
             next_trial_at: now + FIRST_TRIAL_AFTER,
             trial_after: FIRST_TRIAL_AFTER,
         };
-        Some(self.change(PathBelief::Suspected, now.since(self.answered_at)))
+        Some(self.change(PathState::Suspected, now.since(self.answered_at)))
     }
 
     /// Whether the paths to all others failed towards more than one of them: otherwise it may be that one which is cut
     /// off.
     fn is_seen_from_enough_zones(&self) -> bool {
         let far = |silence: &Silence| {
-            if silence.from == self.one {
+            if silence.from == self.zone {
                 silence.to.clone()
             } else {
                 silence.from.clone()
             }
         };
         let first = self.silent.first().map(far);
-        self.other.is_some() || self.silent.iter().any(|silence| Some(far(silence)) != first)
+        self.other_zone.is_some() || self.silent.iter().any(|silence| Some(far(silence)) != first)
     }
 
     fn on_answer(&mut self, now: MonotonicTime) -> Option<PathChange> {
         self.observe_gap(now);
         self.answered_at = self.answered_at.max(now);
-        let change = match self.state {
-            State::Suspected { since, .. } if now > since => {
+        let change = match self.phase {
+            Phase::Suspected { since, .. } if now > since => {
                 let returning = Returning::begin(now);
-                self.state = State::Returns { returning };
-                Some(self.change(PathBelief::Returns, now.since(since)))
+                self.phase = Phase::Recovering { returning };
+                Some(self.change(PathState::Recovering, now.since(since)))
             }
-            State::Returns { returning } if returning.is_over(now) => {
-                self.state = State::Trusted;
-                Some(self.change(PathBelief::Trusted, returning.lasts(now)))
+            Phase::Recovering { returning } if returning.is_over(now) => {
+                self.phase = Phase::Trusted;
+                Some(self.change(PathState::Trusted, returning.lasts(now)))
             }
             _ => None,
         };
@@ -356,24 +356,24 @@
     }
 
     fn on_sent(&mut self, now: MonotonicTime) {
-        if let State::Suspected {
+        if let Phase::Suspected {
             next_trial_at,
             trial_after,
             ..
-        } = &mut self.state
+        } = &mut self.phase
         {
             *trial_after = (*trial_after * 2).min(LONGEST_TRIAL_AFTER);
             *next_trial_at = now + *trial_after;
         }
     }
 
-    fn change(&self, belief: PathBelief, after: Duration) -> PathChange {
+    fn change(&self, state: PathState, elapsed: Duration) -> PathChange {
         PathChange {
-            one: self.one.clone(),
-            other: self.other.clone(),
-            belief,
+            zone: self.zone.clone(),
+            other_zone: self.other_zone.clone(),
+            state,
             silent_engines: self.silent.len(),
-            after,
+            elapsed,
         }
     }
 }
--- a/crates/core/src/routing/pool/pauses.rs
+++ b/crates/core/src/routing/pool/pauses.rs
@@ -42,11 +42,11 @@
 
 /// Time between two events of an output where nothing is read beside it, at an engine of usual speed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct EventPace {
+pub struct EventInterval {
     seconds: Option<f64>,
 }
 
-impl EventPace {
+impl EventInterval {
     /// The time, in seconds; zero until one was seen.
     pub fn seconds(&self) -> f64 {
         self.seconds.unwrap_or_default()
@@ -68,12 +68,12 @@
 
 /// Most prompt tokens that an engine had to read at once of late: what is read there by and by.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct RecentReading {
+pub struct RecentPrefill {
     tokens: f64,
     at: Option<MonotonicTime>,
 }
 
-impl RecentReading {
+impl RecentPrefill {
     /// The tokens, as far as they have not faded.
     pub fn tokens(&self, now: MonotonicTime) -> f64 {
         let Some(at) = self.at else {
@@ -97,50 +97,55 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PauseForecast {
     /// Time between two events where nothing is read, at an engine of usual speed, in seconds.
-    pub event_seconds: f64,
+    pub event_interval_seconds: f64,
     /// Reading at an engine that runs outputs.
-    pub reading: ReadingSpeed,
+    pub prefill: ReadingSpeed,
     /// Factor by which work takes longer at the engine.
     pub work_factor: f64,
     /// Prompt tokens that it had to read at once of late.
-    pub read_lately: f64,
+    pub recent_prefill_tokens: f64,
 }
 
 impl PauseForecast {
     /// Longest pause to expect where so many prompt tokens are to be read now, in seconds.
     pub fn pause(&self, prompt_tokens: f64) -> f64 {
-        let tokens = prompt_tokens.max(self.read_lately);
+        let tokens = prompt_tokens.max(self.recent_prefill_tokens);
         let reading = if tokens > 0.0 {
-            self.reading.seconds(tokens)
+            self.prefill.seconds(tokens)
         } else {
             0.0
         };
-        self.work_factor * (self.event_seconds + reading)
+        self.work_factor * (self.event_interval_seconds + reading)
     }
 
     /// How many streams at the engine come late by a pause because it reads so many tokens more, as far as the reading
     /// could be done apart: `wait_apart` is the shortest time until it would begin there, in seconds.
-    pub fn streams_made_late(&self, work: &WorkAtEngine, prompt_tokens: f64, wait_apart: Option<f64>) -> f64 {
+    pub fn added_late_streams(
+        &self,
+        work: &WorkAtEngine,
+        prompt_tokens: f64,
+        wait_apart: Option<f64>,
+    ) -> f64 {
         let Some(bound) = work.shortest_bound.filter(|_| prompt_tokens > 0.0) else {
             return 0.0;
         };
         let now = work.all_prompt_tokens();
-        let before = share_late(self.pause(now), bound);
-        let after = share_late(self.pause(now + prompt_tokens), bound);
-        let room = wait_apart.map_or(1.0, |wait| 1.0 - share_late(wait, bound));
+        let before = late_probability(self.pause(now), bound);
+        let after = late_probability(self.pause(now + prompt_tokens), bound);
+        let room = wait_apart.map_or(1.0, |wait| 1.0 - late_probability(wait, bound));
         work.streams * room * (after - before)
     }
 
     /// How sure a new stream is to come late by a pause, from zero to one.
     ///
     /// `prompt_tokens` are those that are read beside it.
-    pub fn own_lateness(&self, prompt_tokens: f64, bound: Option<Duration>) -> f64 {
-        bound.map_or(0.0, |bound| share_late(self.pause(prompt_tokens), bound))
+    pub fn own_late_probability(&self, prompt_tokens: f64, bound: Option<Duration>) -> f64 {
+        bound.map_or(0.0, |bound| late_probability(self.pause(prompt_tokens), bound))
     }
 }
 
 /// Share of the streams that are late by a pause, given the one that is expected, in seconds, and the bound.
-pub fn share_late(pause: f64, bound: Duration) -> f64 {
+pub fn late_probability(pause: f64, bound: Duration) -> f64 {
     let part = pause / bound.as_secs_f64().max(f64::MIN_POSITIVE);
     let steep = part.powi(4);
     if steep.is_finite() {
--- a/crates/core/src/routing/pool/pool_speeds.rs
+++ b/crates/core/src/routing/pool/pool_speeds.rs
@@ -1,7 +1,7 @@
 //! What a pool's engines were seen to take, by what they do.
 
 use super::expectation::{ExpectationError, ReadingPauses, TurnedAway};
-use super::pauses::EventPace;
+use super::pauses::EventInterval;
 use super::speed::{LARGEST_FACTOR, ReadingSpeed};
 use std::time::Duration;
 
@@ -45,7 +45,7 @@
     /// What outputs suffer from reading beside them.
     pub pauses: ReadingPauses,
     /// Time between two events of an output where nothing is read beside it, at a usual engine.
-    pub pace: EventPace,
+    pub pace: EventInterval,
     /// How many requests could not be in time.
     pub turned_away: TurnedAway,
 }
@@ -62,7 +62,7 @@
             place_wait_seconds: ASSUMED_PLACE_WAIT_SECONDS,
             error: ExpectationError::default(),
             pauses: ReadingPauses::default(),
-            pace: EventPace::default(),
+            pace: EventInterval::default(),
             turned_away: TurnedAway::default(),
         }
     }
--- a/crates/core/src/routing/pool/reach.rs
+++ b/crates/core/src/routing/pool/reach.rs
@@ -21,6 +21,6 @@
         now: MonotonicTime,
     ) -> impl Iterator<Item = &'a EngineState> {
         self.candidates(query, EngineStage::Decode, now)
-            .filter(move |state| query.last_resort || self.paths.moves(source, &state.engine.zone))
+            .filter(move |state| query.last_resort || self.paths.allows_transfer(source, &state.engine.zone))
     }
 }
--- a/crates/core/src/routing/pool/router.rs
+++ b/crates/core/src/routing/pool/router.rs
@@ -1,14 +1,14 @@
 //! The router and what it knows of each engine.
 
 use super::beliefs::PrefixNews;
-use super::cordoned::CordonInForce;
+use super::cordons::ActiveCordon;
 use super::demand::PromptDemand;
 use super::engine::{EngineStage, EngineState, FORGET_AFTER, Gone, PoolEngine, ToldLoad};
 use super::limits::SentRate;
 use super::pace::{PaceChange, PoolPace};
 use super::paths::Paths;
 use super::pool_speeds::PoolSpeeds;
-use super::silences::{EngineChange, UntoldSilence};
+use super::unresponsive_engines::{EngineAvailabilityChange, PendingSilence};
 use super::weights::PoolWeights;
 use super::working_set::WorkingSet;
 use crate::engine_signals::SignalRegister;
@@ -36,8 +36,8 @@
     pub(super) news: Vec<PrefixNews>,
     /// Whether what is sent from one zone reaches engines in another.
     pub(super) paths: Paths,
-    pub(super) untold_silences: Vec<UntoldSilence>,
-    pub(super) engine_changes: Vec<EngineChange>,
+    pub(super) pending_silences: Vec<PendingSilence>,
+    pub(super) availability_changes: Vec<EngineAvailabilityChange>,
     /// Engines whose momentary figure others are to be told.
     pub(super) untold_figures: Vec<SubjectHandle>,
     /// The last engine whose lasting speed others were told.
@@ -49,7 +49,7 @@
     pub(super) sent_rates: BTreeMap<(PoolId, EngineStage), SentRate>,
     pub(super) tickets: u64,
     /// Cordons in force.
-    pub(super) cordons: Vec<CordonInForce>,
+    pub(super) cordons: Vec<ActiveCordon>,
     pub(super) sharing: UseLedger,
     /// What engines said of themselves in their answers.
     pub(super) signals: SignalRegister,
@@ -70,8 +70,8 @@
             traits: BTreeMap::new(),
             news: Vec::new(),
             paths: Paths::default(),
-            untold_silences: Vec::new(),
-            engine_changes: Vec::new(),
+            pending_silences: Vec::new(),
+            availability_changes: Vec::new(),
             untold_figures: Vec::new(),
             lasting_cursor: None,
             pace_changes: Vec::new(),
--- a/crates/core/src/routing/pool/silences.rs
+++ b/crates/core/src/routing/pool/unresponsive_engines.rs
@@ -13,11 +13,11 @@
 use std::time::Duration;
 
 /// Most silences that wait to be told; more within one round of messages tell nothing new.
-const MOST_UNTOLD: usize = 16;
+const MAX_PENDING_SILENCES: usize = 16;
 
 /// A silence that has not been told yet.
 #[derive(Clone, Debug)]
-pub(super) struct UntoldSilence {
+pub(super) struct PendingSilence {
     engine: SubjectHandle,
     from: ZoneId,
     sent_at: MonotonicTime,
@@ -25,21 +25,21 @@
 
 /// An engine that is left alone because it said nothing, or that is used again.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EngineChange {
+pub struct EngineAvailabilityChange {
     /// The engine.
     pub engine: EngineId,
     /// For how long it is left alone; absent where load returns because it has answered somebody.
     pub pause: Option<Duration>,
     /// Whether another node told.
-    pub told: bool,
+    pub from_peer: bool,
 }
 
 /// Most changes that wait to be taken.
-const MOST_CHANGES: usize = 64;
+const MAX_PENDING_CHANGES: usize = 64;
 
 impl PoolRouter {
     /// Notes that an engine said nothing for too long, or that no connection to it could be made in time.
-    pub fn on_silent(&mut self, ticket: &PoolTicket, now: MonotonicTime) {
+    pub fn on_silence(&mut self, ticket: &PoolTicket, now: MonotonicTime) {
         let Some(state) = self.engines.get_mut(ticket.engine()) else {
             return;
         };
@@ -51,10 +51,10 @@
         let (zone, engine) = (state.engine.zone.clone(), state.handle);
         let from = ticket.from();
         if pause.is_some() {
-            self.note_engine_change(ticket.engine().clone(), pause, false);
+            self.record_availability_change(ticket.engine().clone(), pause, false);
         }
-        if self.untold_silences.len() < MOST_UNTOLD && self.paths.moves(from, &zone) {
-            self.untold_silences.push(UntoldSilence {
+        if self.pending_silences.len() < MAX_PENDING_SILENCES && self.paths.allows_transfer(from, &zone) {
+            self.pending_silences.push(PendingSilence {
                 engine,
                 from: from.clone(),
                 sent_at: work.sent_at,
@@ -62,12 +62,12 @@
         }
         let engines = self.engines_in(&zone);
         self.paths
-            .note_silent(from, &zone, engine, engines, work.sent_at, now);
+            .record_silence(from, &zone, engine, engines, work.sent_at, now);
     }
 
     /// Takes another placer's word of engines that fell silent. What nobody has heard since the request was sent is left
     /// alone for a moment where `leaves_alone`, unless the path to it is what is suspected.
-    pub fn on_peer_silences(&mut self, words: &[SilenceWord], leaves_alone: bool, now: MonotonicTime) {
+    pub fn on_peer_silence_reports(&mut self, words: &[SilenceWord], leaves_alone: bool, now: MonotonicTime) {
         for word in words {
             let sent_before = Duration::from_millis(word.sent_before_millis.into());
             let sent_at = now.earlier(sent_before).unwrap_or_default();
@@ -78,8 +78,8 @@
             let is_heard = state.heard_at.is_some_and(|at| at > sent_at);
             let engines = self.engines_in(&zone);
             self.paths
-                .note_told_silent(&word.from, &zone, word.engine, engines, sent_at, now);
-            let path_works = self.paths.moves(&word.from, &zone);
+                .record_reported_silence(&word.from, &zone, word.engine, engines, sent_at, now);
+            let path_works = self.paths.allows_transfer(&word.from, &zone);
             if let Some(state) = self.state_of(word.engine)
                 && leaves_alone
                 && path_works
@@ -88,18 +88,18 @@
                 let pause = state.health.silent(now);
                 let engine = state.engine.id.clone();
                 if pause.is_some() {
-                    self.note_engine_change(engine, pause, true);
+                    self.record_availability_change(engine, pause, true);
                 }
             }
         }
     }
 
     /// Silences since the last call, for other placers; at most `most`, the rest follows at the next call.
-    pub fn take_silences(&mut self, most: usize, now: MonotonicTime) -> Vec<SilenceWord> {
+    pub fn take_silence_reports(&mut self, most: usize, now: MonotonicTime) -> Vec<SilenceWord> {
         let rest = self
-            .untold_silences
-            .split_off(most.min(self.untold_silences.len()));
-        let told = std::mem::replace(&mut self.untold_silences, rest);
+            .pending_silences
+            .split_off(most.min(self.pending_silences.len()));
+        let told = std::mem::replace(&mut self.pending_silences, rest);
         let words = told.into_iter().map(|silence| SilenceWord {
             engine: silence.engine,
             from: silence.from,
@@ -109,8 +109,8 @@
     }
 
     /// Whether there are silences to tell.
-    pub fn has_untold_silences(&self) -> bool {
-        !self.untold_silences.is_empty()
+    pub fn has_pending_silence_reports(&self) -> bool {
+        !self.pending_silences.is_empty()
     }
 
     /// Changes of what is believed of the paths between zones since the last call.
@@ -119,13 +119,22 @@
     }
 
     /// Engines that were left alone or are used again since the last call.
-    pub fn take_engine_changes(&mut self) -> Vec<EngineChange> {
-        std::mem::take(&mut self.engine_changes)
+    pub fn take_availability_changes(&mut self) -> Vec<EngineAvailabilityChange> {
+        std::mem::take(&mut self.availability_changes)
     }
 
-    pub(super) fn note_engine_change(&mut self, engine: EngineId, pause: Option<Duration>, told: bool) {
-        if self.engine_changes.len() < MOST_CHANGES {
-            self.engine_changes.push(EngineChange { engine, pause, told });
+    pub(super) fn record_availability_change(
+        &mut self,
+        engine: EngineId,
+        pause: Option<Duration>,
+        from_peer: bool,
+    ) {
+        if self.availability_changes.len() < MAX_PENDING_CHANGES {
+            self.availability_changes.push(EngineAvailabilityChange {
+                engine,
+                pause,
+                from_peer,
+            });
         }
     }
 
--- a/crates/core/src/routing/pool/working_set/growing.rs
+++ b/crates/core/src/routing/pool/working_set/growing.rs
@@ -2,7 +2,7 @@
 
 use crate::forwarding::PoolId;
 use crate::identity::EngineId;
-use crate::routing::pool::admission::{Admission, AdmissionDecision, PoolAdmission, Timing};
+use crate::routing::pool::admission::{Admission, AdmissionDecision, PoolAdmission, RequestTiming};
 use crate::routing::pool::choice::PoolRoute;
 use crate::routing::pool::engine::{EngineStage, PoolEngine};
 use crate::routing::pool::query::PoolQuery;
@@ -21,7 +21,7 @@
     pub fn admit_growing(
         &mut self,
         query: &PoolQuery<'_>,
-        timing: Timing,
+        timing: RequestTiming,
         settings: &PoolAdmission,
         now: MonotonicTime,
     ) -> AdmissionDecision {
--- a/crates/core/tests/cordons.rs
+++ b/crates/core/tests/cordons.rs
@@ -12,7 +12,7 @@
 use shelfjunction_core::identity::ZoneId;
 use shelfjunction_core::metering::UnixTime;
 use shelfjunction_core::routing::pool::{
-    CordonInForce, EngineStage, LeftAlone, PoolQuery, PoolRoute, PoolRouter, PoolWeights, RequestTerms,
+    ActiveCordon, AvoidanceReason, EngineStage, PoolQuery, PoolRoute, PoolRouter, PoolWeights, RequestTerms,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -39,8 +39,8 @@
     set.changed(change, &router().standings(), &CordonSettings::default(), now)
 }
 
-fn in_force(target: &str, until: MonotonicTime, forced: bool) -> CordonInForce {
-    CordonInForce {
+fn in_force(target: &str, until: MonotonicTime, forced: bool) -> ActiveCordon {
+    ActiveCordon {
         target: target.parse().unwrap(),
         until,
         forced,
@@ -102,13 +102,13 @@
         .find(|state| state.engine.id.as_str() == "e2")
         .unwrap();
     assert_eq!(
-        state.left_alone(NOW),
-        Some(LeftAlone::Cordoned {
+        state.avoidance_reason(NOW),
+        Some(AvoidanceReason::Cordoned {
             remaining: MINUTE,
             forced: false
         })
     );
-    assert_eq!(state.left_alone(until), None);
+    assert_eq!(state.avoidance_reason(until), None);
     assert!((0..200).any(|draw| chosen(&router, draw, until).as_deref() == Some("e2")));
 }
 
--- a/crates/core/tests/engine_starts.rs
+++ b/crates/core/tests/engine_starts.rs
@@ -17,9 +17,9 @@
 use shelfjunction_core::quarantine::config::QuarantineSettings;
 use shelfjunction_core::quarantine::{Asked, Fingerprint, Quarantine, Standing};
 use shelfjunction_core::routing::pool::{
-    CordonInForce, EngineListing, EngineStage, EngineState, LeftAlone, ListChange, PeerWork, PoolAdmission,
-    PoolEngine, PoolRouter, PoolWeights, PrefixNews, PromptPart, PromptShape, RequestTerms, ToldLoad,
-    WorkSlice,
+    ActiveCordon, AvoidanceReason, EngineListing, EngineStage, EngineState, ListChange, PeerWork,
+    PoolAdmission, PoolEngine, PoolRouter, PoolWeights, PrefixNews, PromptPart, PromptShape, RequestTerms,
+    ToldLoad, WorkSlice,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -337,18 +337,21 @@
 #[test]
 fn what_operators_cordon_by_its_identifier_stays_cordoned_when_it_starts_again() {
     let mut node = Node::new();
-    node.router.on_cordons(vec![CordonInForce {
+    node.router.on_cordons(vec![ActiveCordon {
         target: CordonTarget::Engine(NAME.to_owned()),
         until: at(60_000),
         forced: true,
     }]);
     node.hear(2, listed(2), false, at(100));
     assert!(matches!(
-        node.state(2).left_alone(at(110)),
-        Some(LeftAlone::Cordoned { .. })
+        node.state(2).avoidance_reason(at(110)),
+        Some(AvoidanceReason::Cordoned { .. })
     ));
     assert_eq!(node.answer(1, 1, at(111)), Placement::Nowhere);
-    assert_eq!(node.state(1).left_alone(at(111)), Some(LeftAlone::Gone));
+    assert_eq!(
+        node.state(1).avoidance_reason(at(111)),
+        Some(AvoidanceReason::Gone)
+    );
     let standing: Vec<_> = node
         .router
         .standings()
--- a/crates/core/tests/engine_troubles.rs
+++ b/crates/core/tests/engine_troubles.rs
@@ -91,7 +91,7 @@
 fn fall_silent(router: &mut PoolRouter, id: &str, now: MonotonicTime) {
     let asked = Asked::new(false);
     let ticket = router.on_output_sent(&EngineId::new(id), &asked.query(0), OutputWay::Reads, now);
-    router.on_silent(&ticket, now);
+    router.on_silence(&ticket, now);
 }
 
 fn answer(router: &mut PoolRouter, id: &str, now: MonotonicTime) {
@@ -165,14 +165,14 @@
         let mut router = router(&[engine("d1"), engine("d2")]);
         let asked = Asked::new(false);
         answer(&mut router, "d1", after(100));
-        router.on_peer_silences(&[word("d1", 250)], true, after(300));
+        router.on_peer_silence_reports(&[word("d1", 250)], true, after(300));
         assert!(to(&router, &asked, "d1", after(310)) > 0, "it has answered since");
-        router.on_peer_silences(&[word("d1", 250)], false, after(700));
+        router.on_peer_silence_reports(&[word("d1", 250)], false, after(700));
         assert!(
             to(&router, &asked, "d1", after(710)) > 0,
             "small fleets judge for themselves"
         );
-        router.on_peer_silences(&[word("d1", 250)], true, after(700));
+        router.on_peer_silence_reports(&[word("d1", 250)], true, after(700));
         assert_eq!(to(&router, &asked, "d1", after(710)), 0);
         let news = PrefixNews {
             engine: SubjectHandle::of_engine(&EngineId::new("d1")),
@@ -181,7 +181,7 @@
         };
         router.on_peer_news(&[news], after(720));
         assert!(to(&router, &asked, "d1", after(730)) > 0);
-        let changes = router.take_engine_changes();
+        let changes = router.take_availability_changes();
         let pauses: Vec<_> = changes.iter().map(|change| (change.pause, change.told)).collect();
         assert_eq!(pauses, [(Some(Duration::from_millis(500)), true), (None, true)]);
     }
@@ -192,15 +192,15 @@
         let asked = Asked::new(false);
         let id = EngineId::new("d1");
         let ticket = router.on_output_sent(&id, &asked.query(0), OutputWay::Reads, NOW);
-        router.on_silent(&ticket, after(250));
-        assert_eq!(router.take_silences(8, after(270)), [word("d1", 270)]);
-        assert!(router.take_silences(8, after(270)).is_empty());
+        router.on_silence(&ticket, after(250));
+        assert_eq!(router.take_silence_reports(8, after(270)), [word("d1", 270)]);
+        assert!(router.take_silence_reports(8, after(270)).is_empty());
     }
 
     #[test]
     fn a_word_of_an_engine_that_is_not_known_changes_nothing() {
         let mut router = router(&[engine("d1")]);
-        router.on_peer_silences(&[word("d9", 250)], true, NOW);
+        router.on_peer_silence_reports(&[word("d9", 250)], true, NOW);
         assert!(router.take_path_changes().is_empty());
     }
 }
--- a/crates/core/tests/path_world/mod.rs
+++ b/crates/core/tests/path_world/mod.rs
@@ -244,12 +244,12 @@
     fn hear(&mut self, at: u64, outage: &Outage) {
         let now = MonotonicTime::from_millis(at);
         for teller in 0..self.placers.len() {
-            let words = self.placers[teller].router.take_silences(usize::MAX, now);
+            let words = self.placers[teller].router.take_silence_reports(usize::MAX, now);
             let from = ZoneId::new(ZONES[teller % ZONES.len()]);
             for (hearer, placer) in self.placers.iter_mut().enumerate() {
                 let to = ZoneId::new(ZONES[hearer % ZONES.len()]);
                 if hearer != teller && outage.reaches(&from, &to, 1, at) {
-                    placer.router.on_peer_silences(&words, true, now);
+                    placer.router.on_peer_silence_reports(&words, true, now);
                     placer.path_changes += placer.router.take_path_changes().len();
                 }
             }
--- a/crates/core/tests/paths.rs
+++ b/crates/core/tests/paths.rs
@@ -8,7 +8,7 @@
 use path_world::{Fleet, Outage, Outcome};
 use shelfjunction_core::identity::ZoneId;
 use shelfjunction_core::membership::subject::SubjectHandle;
-use shelfjunction_core::routing::pool::{PathBelief, Paths};
+use shelfjunction_core::routing::pool::{PathState, Paths};
 use shelfjunction_core::routing::returning::Returning;
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -45,7 +45,7 @@
 
     fn silent(&mut self, number: u64, sent_at: MonotonicTime, now: MonotonicTime) {
         self.paths
-            .note_silent(&self.a, &self.b, engine(number), 20, sent_at, now);
+            .record_silence(&self.a, &self.b, engine(number), 20, sent_at, now);
     }
 
     fn admits(&self, now: MonotonicTime) -> bool {
@@ -58,9 +58,9 @@
         }
     }
 
-    fn beliefs(&mut self) -> Vec<PathBelief> {
+    fn states(&mut self) -> Vec<PathState> {
         let changes = self.paths.take_changes();
-        changes.into_iter().map(|change| change.belief).collect()
+        changes.into_iter().map(|change| change.state).collect()
     }
 }
 
@@ -77,9 +77,9 @@
         two.silent(3, after(30), after(280));
         assert!(!two.admits(after(280)));
         assert!(!two.paths.admits(&two.b, &two.a, 7, true, after(280)));
-        assert!(!two.paths.moves(&two.b, &two.a));
+        assert!(!two.paths.allows_transfer(&two.b, &two.a));
         assert!(two.paths.admits(&two.a, &zone("c"), 7, true, after(280)));
-        assert_eq!(two.beliefs(), [PathBelief::Suspected]);
+        assert_eq!(two.states(), [PathState::Suspected]);
     }
 
     #[test]
@@ -88,11 +88,11 @@
         for number in 0..20 {
             let sent = after(number * 100);
             two.paths
-                .note_answer(&two.a, &two.b, sent + Duration::from_millis(50));
+                .record_answer(&two.a, &two.b, sent + Duration::from_millis(50));
             two.silent(number, sent, sent + Duration::from_millis(250));
             assert!(two.admits(sent + Duration::from_millis(250)));
         }
-        assert!(two.beliefs().is_empty());
+        assert!(two.states().is_empty());
     }
 
     #[test]
@@ -101,7 +101,7 @@
             let mut paths = Paths::default();
             let (a, b) = (zone("a"), zone("b"));
             for number in 0..engines {
-                paths.note_silent(&a, &b, engine(number), engines as usize, NOW, after(250));
+                paths.record_silence(&a, &b, engine(number), engines as usize, NOW, after(250));
             }
             assert_eq!(paths.admits(&a, &b, 7, true, after(250)), expected, "{engines}");
         }
@@ -122,7 +122,7 @@
         let mut paths = Paths::default();
         let a = zone("a");
         for number in 0..9 {
-            paths.note_silent(&a, &a, engine(number), 20, NOW, after(250));
+            paths.record_silence(&a, &a, engine(number), 20, NOW, after(250));
         }
         assert!(paths.admits(&a, &a, 7, true, after(250)));
     }
@@ -138,7 +138,7 @@
         let mut trials = Vec::new();
         for millis in 250..10_250 {
             if two.admits(after(millis)) {
-                two.paths.note_sent(&two.a, &two.b, after(millis));
+                two.paths.record_request(&two.a, &two.b, after(millis));
                 trials.push(millis - 250);
             }
         }
@@ -157,7 +157,7 @@
     fn an_answer_to_a_trial_lets_load_return_step_by_step() {
         let mut two = Two::new();
         two.suspect();
-        two.paths.note_answer(&two.a, &two.b, after(1_000));
+        two.paths.record_answer(&two.a, &two.b, after(1_000));
         let admitted = |two: &Two, millis| {
             let drawn = (0..10_000_u64).filter(|drawn| {
                 let paths = &two.paths;
@@ -171,20 +171,20 @@
         for (step, expected) in steps.iter().zip([10, 32, 55, 77, 100]) {
             assert!(step.abs_diff(expected) <= 1, "{steps:?}");
         }
-        two.paths.note_answer(&two.a, &two.b, after(2_000));
-        let expected = [PathBelief::Suspected, PathBelief::Returns, PathBelief::Trusted];
-        assert_eq!(two.beliefs(), expected);
+        two.paths.record_answer(&two.a, &two.b, after(2_000));
+        let expected = [PathState::Suspected, PathState::Recovering, PathState::Trusted];
+        assert_eq!(two.states(), expected);
     }
 
     #[test]
     fn two_silent_engines_end_a_return() {
         let mut two = Two::new();
         two.suspect();
-        two.paths.note_answer(&two.a, &two.b, after(1_000));
+        two.paths.record_answer(&two.a, &two.b, after(1_000));
         two.silent(1, after(1_010), after(1_260));
-        assert!(two.paths.moves(&two.a, &two.b));
+        assert!(two.paths.allows_transfer(&two.a, &two.b));
         two.silent(2, after(1_020), after(1_270));
-        assert!(!two.paths.moves(&two.a, &two.b));
+        assert!(!two.paths.allows_transfer(&two.a, &two.b));
     }
 
     #[test]
@@ -375,7 +375,7 @@
         for engine in ["p-b", "d-b", "d-b2"] {
             let id = EngineId::new(engine);
             let ticket = router.on_output_sent(&id, &asked.query(), OutputWay::Reads, NOW);
-            router.on_silent(&ticket, after(250));
+            router.on_silence(&ticket, after(250));
         }
     }
 
@@ -412,7 +412,7 @@
         let asked = Asked::new();
         for engine in &engines {
             let ticket = router.on_output_sent(&engine.id, &asked.query(), OutputWay::Reads, NOW);
-            router.on_silent(&ticket, after(250));
+            router.on_silence(&ticket, after(250));
         }
         assert!(
             router
--- a/crates/core/tests/placing.rs
+++ b/crates/core/tests/placing.rs
@@ -17,7 +17,7 @@
 };
 use shelfjunction_core::routing::pool::{
     Admission, EngineStage, PoolAdmission, PoolRouter, PoolWeights, PromptPart, PromptShape, RequestTerms,
-    Timing,
+    RequestTiming,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -184,10 +184,10 @@
 }
 
 fn admission(number: u64) -> Question {
-    let timing = Timing {
+    let timing = RequestTiming {
         target: Duration::from_secs(1),
-        left: Duration::from_secs(4),
-        returned: false,
+        remaining: Duration::from_secs(4),
+        is_retry: false,
     };
     question(number, 1, Wanted::Admission(timing))
 }
--- a/crates/core/tests/pool_admission.rs
+++ b/crates/core/tests/pool_admission.rs
@@ -11,7 +11,7 @@
 use shelfjunction_core::routing::pool::{
     Admission, AdmissionDecision, EngineStage, ExpectationError, LATE_RANK, OutputWay, PeerWork,
     PoolAdmission, PoolQuery, PoolRoute, PoolRouter, PoolSpeeds, PoolWeights, PrefixBlock, PromptPart,
-    PromptShape, ReadingSpeed, RequestTerms, Timing, TurnedAway, WorkSlice,
+    PromptShape, ReadingSpeed, RequestTerms, RequestTiming, TurnedAway, WorkSlice,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -74,11 +74,11 @@
     }
 }
 
-fn timing(returned: bool) -> Timing {
-    Timing {
+fn timing(is_retry: bool) -> RequestTiming {
+    RequestTiming {
         target: Duration::from_millis(200),
-        left: Duration::from_secs(2),
-        returned,
+        remaining: Duration::from_secs(2),
+        is_retry,
     }
 }
 
@@ -95,8 +95,8 @@
     router
 }
 
-fn decide(router: &PoolRouter, returned: bool, settings: &PoolAdmission) -> AdmissionDecision {
-    router.admit(&Asked::new(5_000).query(), timing(returned), settings, NOW)
+fn decide(router: &PoolRouter, is_retry: bool, settings: &PoolAdmission) -> AdmissionDecision {
+    router.admit(&Asked::new(5_000).query(), timing(is_retry), settings, NOW)
 }
 
 #[test]
--- a/crates/core/tests/pool_pauses.rs
+++ b/crates/core/tests/pool_pauses.rs
@@ -8,7 +8,9 @@
 use pauses_world::{Setup, Streams, play};
 use pool_support::{engine_with, pool, router_with};
 use shelfjunction_core::identity::{EngineId, NodeId, ZoneId};
-use shelfjunction_core::routing::pool::pauses::{EventPace, PauseForecast, RecentReading, share_late};
+use shelfjunction_core::routing::pool::pauses::{
+    EventInterval, PauseForecast, RecentPrefill, late_probability,
+};
 use shelfjunction_core::routing::pool::{
     EngineStage, OutputWay, PeerWork, PoolQuery, PoolRoute, PoolRouter, PoolWeights, PromptPart, PromptShape,
     ReadingSpeed, RequestTerms, WorkAtEngine, WorkSlice,
@@ -32,10 +34,10 @@
 
     fn forecast(work_factor: f64) -> PauseForecast {
         PauseForecast {
-            event_seconds: 0.050,
-            reading: ReadingSpeed::assumed(30_000.0),
+            event_interval_seconds: 0.050,
+            prefill: ReadingSpeed::assumed(30_000.0),
             work_factor,
-            read_lately: 0.0,
+            recent_prefill_tokens: 0.0,
         }
     }
 
@@ -49,7 +51,7 @@
 
     #[test]
     fn what_was_read_of_late_still_counts_and_fades() {
-        let mut lately = RecentReading::default();
+        let mut lately = RecentPrefill::default();
         assert!(lately.tokens(NOW) == 0.0);
         lately.observe(9_000.0, NOW);
         lately.observe(1_000.0, NOW + Duration::from_millis(100));
@@ -57,21 +59,21 @@
         assert!(after(100) > 7_000.0, "a lesser reading does not hide it");
         assert!(after(3_000) < 50.0);
         let reader = PauseForecast {
-            read_lately: after(100),
+            recent_prefill_tokens: after(100),
             ..forecast(1.0)
         };
         let none = WorkAtEngine::default();
-        assert!(reader.own_lateness(none.all_prompt_tokens(), Some(BOUND)) > 0.8);
-        assert!(forecast(1.0).own_lateness(none.all_prompt_tokens(), Some(BOUND)) < 0.01);
+        assert!(reader.own_late_probability(none.all_prompt_tokens(), Some(BOUND)) > 0.8);
+        assert!(forecast(1.0).own_late_probability(none.all_prompt_tokens(), Some(BOUND)) < 0.01);
     }
 
     #[test]
     fn the_share_late_grows_steeply_towards_the_bound_and_ends_at_one() {
-        assert!(share_late(0.100, BOUND) < 0.07);
-        assert!((share_late(0.200, BOUND) - 0.5).abs() < 1e-9);
-        assert!(share_late(0.400, BOUND) > 0.9);
-        assert!(share_late(1e9, BOUND) <= 1.0);
-        assert!(share_late(f64::MAX, Duration::ZERO) <= 1.0);
+        assert!(late_probability(0.100, BOUND) < 0.07);
+        assert!((late_probability(0.200, BOUND) - 0.5).abs() < 1e-9);
+        assert!(late_probability(0.400, BOUND) > 0.9);
+        assert!(late_probability(1e9, BOUND) <= 1.0);
+        assert!(late_probability(f64::MAX, Duration::ZERO) <= 1.0);
     }
 
     #[test]
@@ -90,7 +92,7 @@
             shortest_bound: None,
             ..keeping_pace
         };
-        let made_late = |work: &WorkAtEngine| forecast(1.0).streams_made_late(work, 8_000.0, Some(0.0));
+        let made_late = |work: &WorkAtEngine| forecast(1.0).added_late_streams(work, 8_000.0, Some(0.0));
         assert!(made_late(&keeping_pace) > 4.0);
         assert!(made_late(&late_already) < 0.1);
         assert!(made_late(&no_bound) == 0.0);
@@ -98,7 +100,7 @@
 
     #[test]
     fn the_pace_follows_what_is_seen_and_one_long_pause_moves_it_little() {
-        let mut pace = EventPace::default();
+        let mut pace = EventInterval::default();
         (0..50).for_each(|_| pace.observe(0.050));
         pace.observe(5.0);
         assert!(pace.seconds() < 0.055, "{}", pace.seconds());
@@ -276,7 +278,7 @@
         [
             mean(streams, Streams::share_late_by_pause),
             mean(streams, Streams::share_late_by_first_event),
-            mean(streams, Streams::share_late),
+            mean(streams, Streams::late_probability),
         ]
     }
 
--- a/crates/core/tests/rate_limit_choice.rs
+++ b/crates/core/tests/rate_limit_choice.rs
@@ -103,13 +103,13 @@
 fn a_limit_belongs_to_one_start_of_an_engine() {
     let mut router = router();
     name_limit(&mut router, "a", 1.0);
-    assert_eq!(router.limited().count(), 1);
+    assert_eq!(router.rate_limited_engines().count(), 1);
     let started_again = PoolEngine {
         id: EngineId::started("a", EngineStart(7)),
         ..engine_with("a", EngineStage::Whole, 8)
     };
     router.on_engine(started_again);
-    assert_eq!(router.limited().count(), 0);
+    assert_eq!(router.rate_limited_engines().count(), 0);
 }
 
 #[test]
@@ -125,7 +125,7 @@
     );
     assert!(other.on_limit_notice(&notices[0], later).is_some());
     assert!(other.on_limit_notice(&notices[0], later).is_none(), "nothing new");
-    let limited = other.limited().next().unwrap();
+    let limited = other.rate_limited_engines().next().unwrap();
     assert_eq!(limited.rate_limit(), RateLimit::of(1.7));
     assert_eq!(limited.slot_wait(later), Duration::from_millis(200));
     assert!(
@@ -142,7 +142,7 @@
         other.on_limit_notice(&notices[0], later).is_none(),
         "the older notice comes late"
     );
-    assert_eq!(other.limited().count(), 0);
+    assert_eq!(other.rate_limited_engines().count(), 0);
 }
 
 #[test]
--- a/crates/core/tests/sharing_charges.rs
+++ b/crates/core/tests/sharing_charges.rs
@@ -12,7 +12,9 @@
 use shelfjunction_core::placing::question::{
     Answer, PlacedRequest, Placement, Progress, ProgressReport, Question, RequestKey, Wanted,
 };
-use shelfjunction_core::routing::pool::{PoolAdmission, PromptPart, PromptShape, RequestTerms, Timing};
+use shelfjunction_core::routing::pool::{
+    PoolAdmission, PromptPart, PromptShape, RequestTerms, RequestTiming,
+};
 use shelfjunction_core::sharing::UseWord;
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -53,10 +55,10 @@
 }
 
 fn admission(number: u64) -> Question {
-    let timing = Timing {
+    let timing = RequestTiming {
         target: Duration::from_secs(1),
-        left: Duration::from_secs(4),
-        returned: false,
+        remaining: Duration::from_secs(4),
+        is_retry: false,
     };
     question(number, 1, Wanted::Admission(timing))
 }
--- a/crates/core/tests/sharing_placers.rs
+++ b/crates/core/tests/sharing_placers.rs
@@ -11,8 +11,8 @@
 use shelfjunction_core::identity::{EngineId, NodeId, ZoneId};
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::routing::pool::{
-    Admission, PeerWork, PoolAdmission, PoolQuery, PoolRouter, PromptPart, PromptShape, RequestTerms, Timing,
-    WorkSlice,
+    Admission, PeerWork, PoolAdmission, PoolQuery, PoolRouter, PromptPart, PromptShape, RequestTerms,
+    RequestTiming, WorkSlice,
 };
 use shelfjunction_core::sharing::{SharingSettings, TenantRequest};
 use shelfjunction_core::time::MonotonicTime;
@@ -364,10 +364,10 @@
         slot_max_wait: Duration::ZERO,
         draw: 1,
     };
-    let timing = Timing {
+    let timing = RequestTiming {
         target: Duration::from_millis(500),
-        left: Duration::from_secs(4),
-        returned,
+        remaining: Duration::from_secs(4),
+        is_retry,
     };
     let now = MonotonicTime::from_millis(1_000);
     router.admit(&query, timing, settings, now).admission
--- a/crates/core/tests/sharing_world/mod.rs
+++ b/crates/core/tests/sharing_world/mod.rs
@@ -10,7 +10,7 @@
 };
 use shelfjunction_core::routing::pool::{
     Admission, EngineStage, PoolAdmission, PoolRouter, PoolWeights, PromptPart, PromptShape, RequestTerms,
-    Timing, WorkSlice, rank_of,
+    RequestTiming, WorkSlice, rank_of,
 };
 use shelfjunction_core::sharing::UseWord;
 use shelfjunction_core::time::MonotonicTime;
@@ -249,10 +249,10 @@
                 rank: rank_of(sort.order) as u8,
                 left,
             },
-            wanted: Wanted::Admission(Timing {
+            wanted: Wanted::Admission(RequestTiming {
                 target,
                 left,
-                returned,
+                is_retry,
             }),
         }
     }
@@ -266,7 +266,7 @@
                     panic!("only admissions are refused");
                 };
                 let outcome = &mut self.outcomes[sort];
-                if timing.returned {
+                if timing.is_retry {
                     outcome.refused_twice += 1;
                     return;
                 }
--- a/crates/core/tests/working_set.rs
+++ b/crates/core/tests/working_set.rs
@@ -7,7 +7,7 @@
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::routing::pool::{
     Admission, EngineStage, OutputWay, PeerWork, PoolAdmission, PoolEngine, PoolQuery, PoolRoute, PoolRouter,
-    PoolTicket, PoolWeights, PrefixBlock, PromptPart, PromptShape, RequestTerms, Timing, WorkSlice,
+    PoolTicket, PoolWeights, PrefixBlock, PromptPart, PromptShape, RequestTerms, RequestTiming, WorkSlice,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::collections::BTreeSet;
@@ -101,10 +101,10 @@
 /// Requests of a burst.
 const REQUESTS: u64 = 2_000;
 
-const TIMING: Timing = Timing {
+const TIMING: RequestTiming = RequestTiming {
     target: Duration::from_millis(600),
-    left: Duration::from_secs(5),
-    returned: false,
+    remaining: Duration::from_secs(5),
+    is_retry: false,
 };
 
 /// Admits requests of 4,000 tokens, a tenth of a second of reading each, that are not read meanwhile.
--- a/crates/lab/src/fleet/traffic.rs
+++ b/crates/lab/src/fleet/traffic.rs
@@ -5,7 +5,7 @@
 use shelfjunction_core::identity::ZoneId;
 use shelfjunction_core::routing::pool::{
     Admission, OutputWay, PoolAdmission, PoolQuery, PoolRoute, PoolRouter, PoolTicket, PoolWeights,
-    PromptPart, PromptShape, RequestTerms, Timing,
+    PromptPart, PromptShape, RequestTerms, RequestTiming,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::collections::BTreeMap;
@@ -109,10 +109,10 @@
             slot_max_wait: Duration::ZERO,
             draw: shelfjunction_core::membership::subject::mix(number),
         };
-        let timing = Timing {
+        let timing = RequestTiming {
             target: Duration::from_millis(target),
-            left: Duration::from_secs(6),
-            returned: false,
+            remaining: Duration::from_secs(6),
+            is_retry: false,
         };
         let begun = Instant::now();
         let decision = router.admit_growing(&query, timing, &PoolAdmission::default(), now);
--- a/crates/node/src/belief_log.rs
+++ b/crates/node/src/belief_log.rs
@@ -2,7 +2,7 @@
 //! a metric for each change.
 
 use crate::context::Context;
-use shelfjunction_core::routing::pool::EngineChange;
+use shelfjunction_core::routing::pool::EngineAvailabilityChange;
 use shelfjunction_threads::lock;
 
 /// Tells the changes since the last call; to be called after whatever may have changed a belief. Other nodes that choose
@@ -10,29 +10,33 @@
 pub(crate) fn tell_changes(context: &Context) {
     let (changes, engines, has_silences) = {
         let mut router = lock(&context.router);
-        let engines = router.take_engine_changes();
-        (router.take_path_changes(), engines, router.has_untold_silences())
+        let engines = router.take_availability_changes();
+        (
+            router.take_path_changes(),
+            engines,
+            router.has_pending_silence_reports(),
+        )
     };
     engines.iter().for_each(|change| tell_engine(context, change));
     if has_silences {
         context.peers.note_urgent();
     }
     for change in changes {
-        let belief = change.belief.name();
+        let belief = change.state.name();
         context.metrics.path_changed(belief);
         log::info!(
-            one = change.one.as_str(),
-            other = change.other.as_ref().map_or("all", |zone| zone.as_str()),
+            one = change.zone.as_str(),
+            other = change.other_zone.as_ref().map_or("all", |zone| zone.as_str()),
             belief,
             silent_engines = change.silent_engines,
-            after_millis = change.after.as_millis() as u64;
+            after_millis = change.elapsed.as_millis() as u64;
             "path_belief_changed"
         );
     }
 }
 
-fn tell_engine(context: &Context, change: &EngineChange) {
-    let (engine, told) = (change.engine.as_str(), change.told);
+fn tell_engine(context: &Context, change: &EngineAvailabilityChange) {
+    let (engine, told) = (change.engine.as_str(), change.from_peer);
     match change.pause {
         Some(pause) => {
             context.metrics.engine_silence("left_alone");
--- a/crates/node/src/cordons/mod.rs
+++ b/crates/node/src/cordons/mod.rs
@@ -12,7 +12,7 @@
 use crate::metering;
 use shelfjunction_core::cordon::{Cordon, CordonSet};
 use shelfjunction_core::metering::UnixTime;
-use shelfjunction_core::routing::pool::CordonInForce;
+use shelfjunction_core::routing::pool::ActiveCordon;
 use shelfjunction_core::time::MonotonicTime;
 use shelfjunction_threads::lock;
 
@@ -25,7 +25,7 @@
     }
     let kept = known.clone();
     let (now, unix) = (context.now(), metering::unix(context));
-    let cordons: Vec<CordonInForce> = kept
+    let cordons: Vec<ActiveCordon> = kept
         .in_force(unix)
         .map(|cordon| on_own_clock(cordon, now, unix))
         .collect();
@@ -51,8 +51,8 @@
     lock(&context.cordons).version
 }
 
-fn on_own_clock(cordon: &Cordon, now: MonotonicTime, unix: UnixTime) -> CordonInForce {
-    CordonInForce {
+fn on_own_clock(cordon: &Cordon, now: MonotonicTime, unix: UnixTime) -> ActiveCordon {
+    ActiveCordon {
         target: cordon.target.clone(),
         until: now + cordon.until.since(unix),
         forced: cordon.forced,
--- a/crates/node/src/cordons/view.rs
+++ b/crates/node/src/cordons/view.rs
@@ -2,7 +2,7 @@
 
 use crate::context::Context;
 use crate::metering;
-use shelfjunction_core::routing::pool::{EngineState, LeftAlone};
+use shelfjunction_core::routing::pool::{AvoidanceReason, EngineState};
 use shelfjunction_core::time::MonotonicTime;
 use shelfjunction_protocol::cordons::{CordonView, CordonsView, EngineView, EnginesView};
 use shelfjunction_threads::lock;
@@ -41,7 +41,7 @@
 
 fn engine_view(state: &EngineState, now: MonotonicTime) -> EngineView {
     let work = state.work(now);
-    let alone = state.left_alone(now);
+    let alone = state.avoidance_reason(now);
     EngineView {
         engine: state.engine.id.as_str().to_owned(),
         start: state.engine.id.start().0,
@@ -58,21 +58,26 @@
     }
 }
 
-fn cause_name(alone: LeftAlone) -> &'static str {
+fn cause_name(alone: AvoidanceReason) -> &'static str {
     match alone {
-        LeftAlone::Gone => "gone",
-        LeftAlone::Leaving => "leaving",
-        LeftAlone::Changing(_) => "changing stage",
-        LeftAlone::Cordoned { forced: true, .. } => "cordoned by force",
-        LeftAlone::Cordoned { forced: false, .. } => "cordoned",
-        LeftAlone::TakenBack => "zone taken back",
-        LeftAlone::Paused { .. } => "paused",
+        AvoidanceReason::Gone => "gone",
+        AvoidanceReason::Leaving => "leaving",
+        AvoidanceReason::ChangingStage(_) => "changing stage",
+        AvoidanceReason::Cordoned { forced: true, .. } => "cordoned by force",
+        AvoidanceReason::Cordoned { forced: false, .. } => "cordoned",
+        AvoidanceReason::ZoneReclaimed => "zone taken back",
+        AvoidanceReason::Paused { .. } => "paused",
     }
 }
 
-fn remaining(alone: LeftAlone) -> Option<Duration> {
+fn remaining(alone: AvoidanceReason) -> Option<Duration> {
     match alone {
-        LeftAlone::Cordoned { remaining, .. } | LeftAlone::Paused { remaining } => Some(remaining),
-        LeftAlone::Gone | LeftAlone::Leaving | LeftAlone::Changing(_) | LeftAlone::TakenBack => None,
+        AvoidanceReason::Cordoned { remaining, .. } | AvoidanceReason::Paused { remaining } => {
+            Some(remaining)
+        }
+        AvoidanceReason::Gone
+        | AvoidanceReason::Leaving
+        | AvoidanceReason::ChangingStage(_)
+        | AvoidanceReason::ZoneReclaimed => None,
     }
 }
--- a/crates/node/src/course/admitting.rs
+++ b/crates/node/src/course/admitting.rs
@@ -9,7 +9,7 @@
 use shelfjunction_core::placing::question::{AdmissionVerdict, Answer, Placement as Placed, Wanted};
 use shelfjunction_core::request::event::Event;
 use shelfjunction_core::routing::pool::{
-    Admission, AdmissionDecision, LATE_RANK, RequestTerms, Timing, rank_of,
+    Admission, AdmissionDecision, LATE_RANK, RequestTerms, RequestTiming, rank_of,
 };
 use shelfjunction_core::sharing::Standing;
 use shelfjunction_core::time::MonotonicTime;
@@ -33,10 +33,10 @@
 impl Driver<'_> {
     /// The first choice of engines for a request, which also decides whether it is taken.
     pub(super) fn admit(&mut self, now: MonotonicTime) {
-        let timing = Timing {
+        let timing = RequestTiming {
             target: self.route.target_latency,
-            left: routing::left(self.deadline, now),
-            returned: self.returned,
+            remaining: routing::left(self.deadline, now),
+            is_retry: self.returned,
         };
         if let Some((answer, at)) = self.ask(|| Wanted::Admission(timing))
             && let Some(verdict) = answer.verdict
@@ -140,7 +140,7 @@
         }
     }
 
-    fn log_admission(&self, judged: Judged, timing: Timing) {
+    fn log_admission(&self, judged: Judged, timing: RequestTiming) {
         if judged.expected.is_zero() {
             return;
         }
@@ -152,8 +152,8 @@
             error_percent = (judged.error * 100.0) as u64,
             turned_away_percent = (judged.turned_away * 100.0) as u64,
             target_millis = timing.target.as_millis() as u64,
-            left_millis = timing.left.as_millis() as u64,
-            returned = timing.returned,
+            left_millis = timing.remaining.as_millis() as u64,
+            returned = timing.is_retry,
             tenant = self.access.tenant_name(),
             contended = judged.standing.contended,
             tenant_tokens = judged.standing.tenant_use,
@@ -192,7 +192,7 @@
             admission: decision.admission,
             expected: decision.expected,
             error: decision.error,
-            turned_away: decision.turned_away,
+            turned_away: decision.late_or_refused_share,
             standing: decision.standing,
         }
     }
--- a/crates/node/src/operator_page.rs
+++ b/crates/node/src/operator_page.rs
@@ -189,7 +189,7 @@
         metrics
             .rate_limits
             .engines_limited
-            .set(router.limited().count() as i64);
+            .set(router.rate_limited_engines().count() as i64);
         if let Some(spread) = router.pace_spread(now) {
             metrics.pace.note(&spread);
         }
--- a/crates/node/src/peers/receiving.rs
+++ b/crates/node/src/peers/receiving.rs
@@ -124,7 +124,7 @@
     router.on_pace_words(&message.paces, now);
     router.on_peer_demand(&message.node, message.prompt_tokens_per_second, now);
     router.on_ordered(&message.orders, now);
-    router.on_peer_silences(&message.silences, in_large_fleet, now);
+    router.on_peer_silence_reports(&message.silences, in_large_fleet, now);
     drop(router);
     if !message.silences.is_empty() || !message.news.is_empty() {
         belief_log::tell_changes(context);
