--- a/crates/core/src/placing/placement_table.rs
+++ b/crates/core/src/placing/placement_table.rs
@@ -109,7 +109,7 @@
         now: MonotonicTime,
     ) -> Answer {
         kept.request = question.request.clone();
-        kept.until = now + question.request.left + KEPT_AFTER_END;
+        kept.until = now + question.request.remaining + KEPT_AFTER_END;
         kept.close(router, &question.wanted, now);
         let (verdict, placement) = match &question.wanted {
             Wanted::Admission(timing) => {
@@ -221,7 +221,7 @@
         settings: &PoolAdmission,
         now: MonotonicTime,
     ) -> (AdmissionVerdict, Placement) {
-        let decision = router.admit_growing(&self.query(key, &[]), timing, settings, now);
+        let decision = router.admit_or_grow(&self.query(key, &[]), timing, settings, now);
         if !decision.expected.is_zero() {
             self.take_back_charge(router, now);
             let query = self.query(key, &[]);
@@ -255,7 +255,7 @@
         now: MonotonicTime,
     ) -> Placement {
         let excluded = router.engines_of(excluded);
-        let route = router.choose_growing(&self.query(key, &excluded), now);
+        let route = router.choose_or_grow(&self.query(key, &excluded), now);
         self.place(router, key, route, now)
     }
 
@@ -299,10 +299,10 @@
     ) -> Placement {
         let excluded = router.engines_of(excluded);
         // The node that asks may have had the prompt read by an engine that another placer chose.
-        let Some(source) = router.bring_in(source) else {
+        let Some(source) = router.bring_into_use(source) else {
             return Placement::Nowhere;
         };
-        let Some(engine) = router.choose_output_growing(&self.query(key, &excluded), &source, now) else {
+        let Some(engine) = router.choose_output_or_grow(&self.query(key, &excluded), &source, now) else {
             return Placement::Nowhere;
         };
         let mut chosen = self.chosen(router, key, &engine, now);
@@ -339,7 +339,7 @@
     fn slot_max_wait(&self) -> Duration {
         let waiting = Waiting {
             rank: usize::from(self.request.rank),
-            left: self.request.left,
+            left: self.request.remaining,
             is_invested: false,
             beyond_share: 1.0,
         };
@@ -357,7 +357,7 @@
             last_resort: false,
             terms: self.request.terms,
             rank: usize::from(self.request.rank),
-            remaining: self.request.left,
+            remaining: self.request.remaining,
             slot_max_wait: self.slot_max_wait(),
             draw: key.number,
         }
--- a/crates/core/src/placing/question.rs
+++ b/crates/core/src/placing/question.rs
@@ -33,7 +33,7 @@
     /// Rank among requests, from [`crate::routing::pool::rank_of`] or [`crate::routing::pool::LATE_RANK`].
     pub rank: u8,
     /// Time left.
-    pub left: Duration,
+    pub remaining: Duration,
 }
 
 /// What a node wants of a placer.
--- a/crates/core/tests/engine_troubles.rs
+++ b/crates/core/tests/engine_troubles.rs
@@ -182,7 +182,10 @@
         router.on_peer_news(&[news], after(720));
         assert!(to(&router, &asked, "d1", after(730)) > 0);
         let changes = router.take_availability_changes();
-        let pauses: Vec<_> = changes.iter().map(|change| (change.pause, change.told)).collect();
+        let pauses: Vec<_> = changes
+            .iter()
+            .map(|change| (change.pause, change.from_peer))
+            .collect();
         assert_eq!(pauses, [(Some(Duration::from_millis(500)), true), (None, true)]);
     }
 
@@ -275,7 +278,7 @@
             answer(&mut router, engine.id.as_str(), NOW);
         }
         for id in ["s1", "s2", "s4", "s5"] {
-            router.on_engine(PoolEngine {
+            router.on_engine_listed(PoolEngine {
                 leaving: true,
                 ..spot(id)
             });
--- a/crates/core/tests/path_world/mod.rs
+++ b/crates/core/tests/path_world/mod.rs
@@ -217,7 +217,7 @@
                     ..RequestTerms::default()
                 },
                 rank: 1,
-                left: Duration::from_secs(8),
+                remaining: Duration::from_secs(8),
             },
             wanted: Wanted::Engines {
                 excluded: request.tried.clone(),
--- a/crates/core/tests/sharing_charges.rs
+++ b/crates/core/tests/sharing_charges.rs
@@ -48,7 +48,7 @@
                 ..RequestTerms::default()
             },
             rank: 1,
-            left: Duration::from_secs(4),
+            remaining: Duration::from_secs(4),
         },
         wanted,
     }
--- a/crates/core/tests/sharing_placers.rs
+++ b/crates/core/tests/sharing_placers.rs
@@ -339,7 +339,7 @@
 }
 
 /// What becomes of a prompt whose target is 500 ms, where 300 ms of work wait.
-fn decided(settings: &PoolAdmission, tenant: &str, tokens: u32, returned: bool) -> Admission {
+fn decided(settings: &PoolAdmission, tenant: &str, tokens: u32, is_retry: bool) -> Admission {
     let router = contended(settings);
     let prompt = PromptShape {
         model: "m".to_owned(),
--- a/crates/core/tests/sharing_world/mod.rs
+++ b/crates/core/tests/sharing_world/mod.rs
@@ -201,13 +201,13 @@
         }
     }
 
-    fn ask(&mut self, index: usize, returned: bool, asked_at: u64) {
+    fn ask(&mut self, index: usize, is_retry: bool, asked_at: u64) {
         let number = self.draw();
         let mut placer = (number % self.placers.len() as u64) as usize;
         while self.placers[placer].dead {
             placer = (placer + 1) % self.placers.len();
         }
-        let question = self.question(index, number, returned);
+        let question = self.question(index, number, is_retry);
         let now = self.now();
         let settings = self.settings.clone();
         let asked = &mut self.placers[placer];
@@ -218,10 +218,10 @@
         self.follow(index, placer, question, &answer, asked_at);
     }
 
-    fn question(&self, index: usize, number: u64, returned: bool) -> Question {
+    fn question(&self, index: usize, number: u64, is_retry: bool) -> Question {
         let sort = self.sorts[index];
         let target = Duration::from_millis(sort.target_millis);
-        let left = Duration::from_secs(4);
+        let remaining = Duration::from_secs(4);
         Question {
             key: RequestKey {
                 node: SubjectHandle::of_text("node", "asks"),
@@ -247,11 +247,11 @@
                     ..RequestTerms::default()
                 },
                 rank: rank_of(sort.order) as u8,
-                left,
+                remaining,
             },
             wanted: Wanted::Admission(RequestTiming {
                 target,
-                left,
+                remaining,
                 is_retry,
             }),
         }
