--- a/crates/core/tests/engine_starts.rs
+++ b/crates/core/tests/engine_starts.rs
@@ -139,7 +139,7 @@
         zone: ZoneId::new("zone-a"),
         terms: RequestTerms::default(),
         rank: 1,
-        left: Duration::from_secs(4),
+        remaining: Duration::from_secs(4),
     }
 }
 
--- a/crates/core/tests/rate_limit_slots.rs
+++ b/crates/core/tests/rate_limit_slots.rs
@@ -145,7 +145,7 @@
     fn send(&mut self, from: usize, millis: u64) -> Option<u64> {
         let waiting = Waiting {
             rank: self.random.random_range(0..3),
-            remaining: Duration::from_millis(3_000),
+            left: Duration::from_millis(3_000),
             is_invested: self.random.random_range(0..4) == 0,
             beyond_share: 1.0,
         };
