--- a/crates/core/tests/pool_pauses.rs
+++ b/crates/core/tests/pool_pauses.rs
@@ -278,7 +278,7 @@
         [
             mean(streams, Streams::share_late_by_pause),
             mean(streams, Streams::share_late_by_first_event),
-            mean(streams, Streams::late_probability),
+            mean(streams, Streams::share_late),
         ]
     }
 
