--- a/crates/core/src/routing/pool/cordons.rs
+++ b/crates/core/src/routing/pool/cordons.rs
@@ -80,8 +80,8 @@
                 forced: self.is_cordoned_by_force(now),
             });
         }
-        if self.is_taken_back(now) {
-            return Some(AvoidanceReason::ZoneReclaimed);
+        if self.is_being_reclaimed(now) {
+            return Some(LeftAlone::TakenBack);
         }
         self.health
             .paused_for(now)
--- a/crates/core/src/routing/pool/pace/router.rs
+++ b/crates/core/src/routing/pool/pace/router.rs
@@ -5,7 +5,7 @@
 use super::{EnginePaceUse, reported_pace};
 use crate::forwarding::PoolId;
 use crate::identity::EngineId;
-use crate::routing::pool::engine::{EngineState, SentWork, ToldLoad};
+use crate::routing::pool::engine::{EngineState, InFlightWork, ReportedLoad};
 use crate::routing::pool::query::PoolQuery;
 use crate::routing::pool::router::PoolRouter;
 use crate::time::MonotonicTime;
@@ -72,7 +72,7 @@
     pub(in crate::routing::pool) fn on_reported_pace(
         &mut self,
         engine: &EngineId,
-        told: &ToldLoad,
+        told: &ReportedLoad,
         now: MonotonicTime,
     ) {
         let (Some(figure), true) = (
@@ -172,7 +172,7 @@
     pub(in crate::routing::pool) fn observe_output(
         &mut self,
         engine: &EngineId,
-        work: &SentWork,
+        work: &InFlightWork,
         now: MonotonicTime,
     ) {
         let Some(begun_at) = work.begun_at else {
@@ -278,9 +278,9 @@
             return;
         }
         for word in &words.figures {
-            let told = ToldLoad {
+            let told = ReportedLoad {
                 work_time_percent: Some(u32::from(word.percent)),
-                ..ToldLoad::default()
+                ..ReportedLoad::default()
             };
             let at = now - Duration::from_millis(u64::from(word.age_millis));
             if let (Some(figure), Some(state)) = (reported_pace(&told), self.state_of(word.engine)) {
