--- a/crates/core/src/placing/placement_table.rs
+++ b/crates/core/src/placing/placement_table.rs
@@ -15,7 +15,7 @@
 use crate::rate_limit::max_wait::Waiting;
 use crate::routing::pool::{
     Admission, KvCacheSource, LATE_RANK, PoolAdmission, PoolEngine, PoolQuery, PoolRoute, PoolRouter,
-    PoolTicket, PrefixBlock, Timing,
+    PoolTicket, PrefixBlock, RequestTiming,
 };
 use crate::sharing::Charge;
 use crate::time::MonotonicTime;
--- a/crates/core/src/placing/question.rs
+++ b/crates/core/src/placing/question.rs
@@ -4,7 +4,7 @@
 use crate::forwarding::PoolId;
 use crate::identity::ZoneId;
 use crate::membership::subject::SubjectHandle;
-use crate::routing::pool::{Admission, PromptShape, ReportedLoad, RequestTerms, Timing};
+use crate::routing::pool::{Admission, PromptShape, ReportedLoad, RequestTerms, RequestTiming};
 use crate::sharing::Standing;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
--- a/crates/core/src/routing/pool/admission.rs
+++ b/crates/core/src/routing/pool/admission.rs
@@ -189,9 +189,9 @@
             route,
             expected: Duration::ZERO,
             error: speeds.error.factor(care),
-            turned_away: speeds.rejection_rate.share(),
-            cannot_be_in_time: false,
-            queue_part: None,
+            late_or_refused_share: speeds.rejection_rate.share(),
+            misses_target: false,
+            queue_share: None,
             tokens: 0.0,
             standing: Standing::default(),
         };
@@ -320,7 +320,7 @@
         let is_turned_away = decision.admission != Admission::InTime;
         speeds
             .rejection_rate
-            .observe(is_turned_away && decision.cannot_be_in_time);
+            .observe(is_turned_away && decision.misses_target);
         if matches!(decision.admission, Admission::Refused { .. }) {
             // What it would have had to have read is wanted all the same.
             let tokens = query.prompt.map_or(0, |prompt| prompt.tokens);
--- a/crates/core/src/routing/pool/cordons.rs
+++ b/crates/core/src/routing/pool/cordons.rs
@@ -81,7 +81,7 @@
             });
         }
         if self.is_being_reclaimed(now) {
-            return Some(LeftAlone::TakenBack);
+            return Some(AvoidanceReason::ZoneReclaimed);
         }
         self.health
             .paused_for(now)
--- a/crates/core/src/routing/pool/cost.rs
+++ b/crates/core/src/routing/pool/cost.rs
@@ -208,8 +208,8 @@
             Some(computed) => (computed, work.prompt_tokens_behind(query.rank)),
             None => (0.0, work.all_prompt_tokens()),
         };
-        let made_late = forecast.streams_made_late(work, computed, self.min_prefill_wait);
-        let late = made_late + forecast.own_lateness(beside, query.terms.max_event_gap);
+        let made_late = forecast.added_late_streams(work, computed, self.min_prefill_wait);
+        let late = made_late + forecast.own_late_probability(beside, query.terms.max_event_gap);
         self.weights.pause_seconds * late
     }
 
--- a/crates/core/src/routing/pool/dispatches.rs
+++ b/crates/core/src/routing/pool/dispatches.rs
@@ -103,7 +103,7 @@
         state.health.succeeded();
         state.breaks.answered();
         note_held(state, prefixes, &mut self.prefix_updates, now);
-        self.paths.note_answer(&ticket.from, &state.engine.zone, now);
+        self.paths.record_answer(&ticket.from, &state.engine.zone, now);
         let work = state.in_flight.remove(&ticket.number);
         if let Some(work) = work {
             self.observe_prefill(&ticket.engine, &work, |speeds| &mut speeds.prefill, now);
@@ -123,7 +123,7 @@
             return;
         };
         note_held(state, prefixes, &mut self.prefix_updates, now);
-        self.paths.note_answer(&ticket.from, &state.engine.zone, now);
+        self.paths.record_answer(&ticket.from, &state.engine.zone, now);
         let Some(work) = state.in_flight.get_mut(&ticket.number) else {
             return;
         };
@@ -207,7 +207,7 @@
     pub fn on_refused(&mut self, ticket: &PoolTicket, reason: EngineRefusalReason, now: MonotonicTime) {
         if let Some(state) = self.engines.get_mut(&ticket.engine) {
             state.in_flight.remove(&ticket.number);
-            state.note_answer(now);
+            state.record_answer(now);
             state.health.refused(reason, now);
             self.paths.record_answer(&ticket.from, &state.engine.zone, now);
         }
@@ -305,7 +305,7 @@
             state
                 .recent_prefill
                 .observe(state.load(now).all_prompt_tokens(), now);
-            self.paths.note_sent(query.zone, &state.engine.zone, now);
+            self.paths.record_request(query.zone, &state.engine.zone, now);
         }
         PoolTicket {
             engine: engine.clone(),
@@ -321,7 +321,7 @@
     news: &mut Vec<PrefixNews>,
     now: MonotonicTime,
 ) {
-    state.note_answer(now);
+    state.record_answer(now);
     state.prefixes.note_read(prefixes, now);
     // A request's own part is told too: no other request needs it, but it takes the place of parts that others do.
     if !shared_prefixes(prefixes).is_empty() && news.len() < MAX_PENDING_UPDATES {
--- a/crates/core/src/routing/pool/engine.rs
+++ b/crates/core/src/routing/pool/engine.rs
@@ -1,10 +1,10 @@
 //! What is known of one engine of a pool.
 
 use super::beliefs::{PeerWork, RANKS};
-use super::cordoned::EngineCordon;
+use super::cordons::EngineCordon;
 use super::dispatches::KvCacheSource;
 use super::pace::EnginePace;
-use super::pauses::RecentReading;
+use super::pauses::RecentPrefill;
 use super::prefill_speed::PrefillSpeed;
 use super::prefix::PrefixBelief;
 use super::risk::BreakShare;
@@ -245,7 +245,7 @@
     /// Factor by which it answers slower than expected; one when it does not. Decides where `pace` is not in use.
     pub(super) slowness: f64,
     /// Prompt tokens that it had to read at once of late.
-    pub(super) recent_prefill: RecentReading,
+    pub(super) recent_prefill: RecentPrefill,
     /// Its lasting speed and how its machine stands.
     pub(super) pace: EnginePace,
 }
@@ -279,7 +279,7 @@
             limit: LimitBelief::default(),
             peers: BTreeMap::new(),
             slowness: 1.0,
-            recent_prefill: RecentReading::default(),
+            recent_prefill: RecentPrefill::default(),
             pace: EnginePace::default(),
         }
     }
@@ -361,7 +361,7 @@
     }
 
     /// Notes that the engine answers.
-    pub(super) fn note_answer(&mut self, now: MonotonicTime) {
+    pub(super) fn record_answer(&mut self, now: MonotonicTime) {
         self.last_answer_at = Some(now);
     }
 
--- a/crates/core/src/routing/pool/pauses.rs
+++ b/crates/core/src/routing/pool/pauses.rs
@@ -99,7 +99,7 @@
     /// Time between two events where nothing is read, at an engine of usual speed, in seconds.
     pub event_interval_seconds: f64,
     /// Reading at an engine that runs outputs.
-    pub reading: PrefillSpeed,
+    pub prefill: PrefillSpeed,
     /// Factor by which work takes longer at the engine.
     pub work_factor: f64,
     /// Prompt tokens that it had to read at once of late.
@@ -120,7 +120,7 @@
 
     /// How many streams at the engine come late by a pause because it reads so many tokens more, as far as the reading
     /// could be done apart: `min_prefill_wait` is the shortest time until it would begin there, in seconds.
-    pub fn streams_made_late(
+    pub fn added_late_streams(
         &self,
         work: &EngineLoad,
         prompt_tokens: f64,
@@ -130,9 +130,9 @@
             return 0.0;
         };
         let now = work.all_prompt_tokens();
-        let before = share_late(self.pause(now), bound);
-        let after = share_late(self.pause(now + prompt_tokens), bound);
-        let room = min_prefill_wait.map_or(1.0, |wait| 1.0 - share_late(wait, bound));
+        let before = late_probability(self.pause(now), bound);
+        let after = late_probability(self.pause(now + prompt_tokens), bound);
+        let room = min_prefill_wait.map_or(1.0, |wait| 1.0 - late_probability(wait, bound));
         work.streams * room * (after - before)
     }
 
--- a/crates/core/src/routing/pool/peers.rs
+++ b/crates/core/src/routing/pool/peers.rs
@@ -135,7 +135,7 @@
         for one in news {
             if let Some(state) = self.state_of(one.engine) {
                 if one.just_answered {
-                    state.note_answer(now);
+                    state.record_answer(now);
                 }
                 let returns = one.just_answered && state.health.answered_elsewhere(now);
                 state.prefixes.note_read(&one.prefixes, now);
--- a/crates/core/src/routing/pool/pool_speeds.rs
+++ b/crates/core/src/routing/pool/pool_speeds.rs
@@ -1,6 +1,6 @@
 //! What a pool's engines were seen to take, by what they do.
 
-use super::pauses::EventPace;
+use super::pauses::EventInterval;
 use super::prefill_speed::{LARGEST_FACTOR, PrefillSpeed};
 use super::running_stats::{EstimateError, PrefillPauses, RejectionRate};
 use std::time::Duration;
@@ -62,7 +62,7 @@
             queue_wait_seconds: ASSUMED_PLACE_WAIT_SECONDS,
             error: EstimateError::default(),
             pauses: PrefillPauses::default(),
-            pace: EventPace::default(),
+            pace: EventInterval::default(),
             rejection_rate: RejectionRate::default(),
         }
     }
--- a/crates/core/src/routing/pool/router.rs
+++ b/crates/core/src/routing/pool/router.rs
@@ -200,7 +200,7 @@
         let Some(state) = state.filter(|state| !state.has_later_start()) else {
             return;
         };
-        state.note_answer(now);
+        state.record_answer(now);
         state.reported_load = Some((told, now));
         self.on_reported_pace(engine, &told, now);
     }
--- a/crates/core/src/routing/pool/working_set/groups.rs
+++ b/crates/core/src/routing/pool/working_set/groups.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// Most changes that wait to be told in the log.
-const MOST_UNTOLD: usize = 64;
+const MAX_PENDING_SILENCES: usize = 64;
 
 /// Engines of one pool, zone and stage.
 #[derive(Clone, Debug)]
@@ -112,7 +112,7 @@
 
     pub(super) fn note_changes(&mut self) {
         for group in &mut self.groups {
-            if group.told != group.in_use.len() && self.untold.len() < MOST_UNTOLD {
+            if group.told != group.in_use.len() && self.untold.len() < MAX_PENDING_SILENCES {
                 group.told = group.in_use.len();
                 self.untold.push(WorkingSetChange {
                     pool: group.pool.clone(),
--- a/crates/core/tests/engine_starts.rs
+++ b/crates/core/tests/engine_starts.rs
@@ -17,9 +17,9 @@
 use shelfjunction_core::quarantine::config::QuarantineSettings;
 use shelfjunction_core::quarantine::{Asked, Fingerprint, Quarantine, Standing};
 use shelfjunction_core::routing::pool::{
-    CordonInForce, EngineListing, EngineStage, EngineState, LeftAlone, ListChange, PeerWork, PoolAdmission,
-    PoolEngine, PoolRouter, PoolWeights, PrefixNews, PromptPart, PromptShape, ReportedLoad, RequestTerms,
-    WorkSlice,
+    ActiveCordon, AvoidanceReason, EngineListing, EngineStage, EngineState, ListChange, PeerWork,
+    PoolAdmission, PoolEngine, PoolRouter, PoolWeights, PrefixNews, PromptPart, PromptShape, ReportedLoad,
+    RequestTerms, WorkSlice,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
--- a/crates/core/tests/engine_troubles.rs
+++ b/crates/core/tests/engine_troubles.rs
@@ -91,7 +91,7 @@
 fn fall_silent(router: &mut PoolRouter, id: &str, now: MonotonicTime) {
     let asked = Asked::new(false);
     let ticket = router.on_output_sent(&EngineId::new(id), &asked.query(0), KvCacheSource::Prefill, now);
-    router.on_silent(&ticket, now);
+    router.on_silence(&ticket, now);
 }
 
 fn answer(router: &mut PoolRouter, id: &str, now: MonotonicTime) {
@@ -195,9 +195,9 @@
         let asked = Asked::new(false);
         let id = EngineId::new("d1");
         let ticket = router.on_output_sent(&id, &asked.query(0), KvCacheSource::Prefill, NOW);
-        router.on_silent(&ticket, after(250));
-        assert_eq!(router.take_silences(8, after(270)), [word("d1", 270)]);
-        assert!(router.take_silences(8, after(270)).is_empty());
+        router.on_silence(&ticket, after(250));
+        assert_eq!(router.take_silence_reports(8, after(270)), [word("d1", 270)]);
+        assert!(router.take_silence_reports(8, after(270)).is_empty());
     }
 
     #[test]
--- a/crates/core/tests/paths.rs
+++ b/crates/core/tests/paths.rs
@@ -375,7 +375,7 @@
         for engine in ["p-b", "d-b", "d-b2"] {
             let id = EngineId::new(engine);
             let ticket = router.on_output_sent(&id, &asked.query(), KvCacheSource::Prefill, NOW);
-            router.on_silent(&ticket, after(250));
+            router.on_silence(&ticket, after(250));
         }
     }
 
@@ -412,7 +412,7 @@
         let asked = Asked::new();
         for engine in &engines {
             let ticket = router.on_output_sent(&engine.id, &asked.query(), KvCacheSource::Prefill, NOW);
-            router.on_silent(&ticket, after(250));
+            router.on_silence(&ticket, after(250));
         }
         assert!(
             router
--- a/crates/core/tests/pool_admission.rs
+++ b/crates/core/tests/pool_admission.rs
@@ -11,7 +11,7 @@
 use shelfjunction_core::routing::pool::{
     Admission, AdmissionDecision, EngineStage, EstimateError, KvCacheSource, LATE_RANK, PeerWork,
     PoolAdmission, PoolQuery, PoolRoute, PoolRouter, PoolSpeeds, PoolWeights, PrefillSpeed, PrefixBlock,
-    PromptPart, PromptShape, RejectionRate, RequestTerms, Timing, WorkSlice,
+    PromptPart, PromptShape, RejectionRate, RequestTerms, RequestTiming, WorkSlice,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
--- a/crates/core/tests/pool_pauses.rs
+++ b/crates/core/tests/pool_pauses.rs
@@ -34,8 +34,8 @@
 
     fn forecast(work_factor: f64) -> PauseForecast {
         PauseForecast {
-            event_seconds: 0.050,
-            reading: PrefillSpeed::assumed(30_000.0),
+            event_interval_seconds: 0.050,
+            prefill: PrefillSpeed::assumed(30_000.0),
             work_factor,
             recent_prefill: 0.0,
         }
@@ -63,8 +63,8 @@
             ..forecast(1.0)
         };
         let none = EngineLoad::default();
-        assert!(reader.own_lateness(none.all_prompt_tokens(), Some(BOUND)) > 0.8);
-        assert!(forecast(1.0).own_lateness(none.all_prompt_tokens(), Some(BOUND)) < 0.01);
+        assert!(reader.own_late_probability(none.all_prompt_tokens(), Some(BOUND)) > 0.8);
+        assert!(forecast(1.0).own_late_probability(none.all_prompt_tokens(), Some(BOUND)) < 0.01);
     }
 
     #[test]
@@ -92,7 +92,7 @@
             min_event_gap_limit: None,
             ..keeping_pace
         };
-        let made_late = |work: &EngineLoad| forecast(1.0).streams_made_late(work, 8_000.0, Some(0.0));
+        let made_late = |work: &EngineLoad| forecast(1.0).added_late_streams(work, 8_000.0, Some(0.0));
         assert!(made_late(&keeping_pace) > 4.0);
         assert!(made_late(&late_already) < 0.1);
         assert!(made_late(&no_bound) == 0.0);
--- a/crates/core/tests/working_set.rs
+++ b/crates/core/tests/working_set.rs
@@ -7,7 +7,7 @@
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::routing::pool::{
     Admission, EngineStage, KvCacheSource, PeerWork, PoolAdmission, PoolEngine, PoolQuery, PoolRoute,
-    PoolRouter, PoolTicket, PoolWeights, PrefixBlock, PromptPart, PromptShape, RequestTerms, Timing,
+    PoolRouter, PoolTicket, PoolWeights, PrefixBlock, PromptPart, PromptShape, RequestTerms, RequestTiming,
     WorkSlice,
 };
 use shelfjunction_core::time::MonotonicTime;
--- a/crates/lab/src/fleet/traffic.rs
+++ b/crates/lab/src/fleet/traffic.rs
@@ -5,7 +5,7 @@
 use shelfjunction_core::identity::ZoneId;
 use shelfjunction_core::routing::pool::{
     Admission, KvCacheSource, PoolAdmission, PoolQuery, PoolRoute, PoolRouter, PoolTicket, PoolWeights,
-    PromptPart, PromptShape, RequestTerms, Timing,
+    PromptPart, PromptShape, RequestTerms, RequestTiming,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::collections::BTreeMap;
--- a/crates/node/src/cordons/view.rs
+++ b/crates/node/src/cordons/view.rs
@@ -41,7 +41,7 @@
 
 fn engine_view(state: &EngineState, now: MonotonicTime) -> EngineView {
     let work = state.load(now);
-    let alone = state.left_alone(now);
+    let alone = state.avoidance_reason(now);
     EngineView {
         engine: state.engine.id.as_str().to_owned(),
         start: state.engine.id.start().0,
--- a/crates/node/src/peers/sending.rs
+++ b/crates/node/src/peers/sending.rs
@@ -195,7 +195,7 @@
             {
                 let mut router = lock(&self.context.router);
                 message.news = router.take_prefix_updates(MOST_NEWS);
-                message.silences = router.take_silences(MOST_SILENCES, now);
+                message.silences = router.take_silence_reports(MOST_SILENCES, now);
             }
             message.paces = self.pace_words(now);
             self.told_slices.insert(slice, (works, now));
