--- a/crates/core/src/placing/question.rs
+++ b/crates/core/src/placing/question.rs
@@ -4,7 +4,7 @@
 use crate::forwarding::PoolId;
 use crate::identity::ZoneId;
 use crate::membership::subject::SubjectHandle;
-use crate::routing::pool::{Admission, PromptShape, ReportedLoad, RequestTerms, Timing};
+use crate::routing::pool::{Admission, PromptShape, ReportedLoad, RequestTerms, RequestTiming};
 use crate::sharing::Standing;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlacementKind {
     /// Whether the request is taken, and its engines.
-    Admission(Timing),
+    Admission(RequestTiming),
     /// Engines anew, without those that failed it.
     Retry {
         /// Engines that failed the request.
--- a/crates/core/src/routing/pool/mod.rs
+++ b/crates/core/src/routing/pool/mod.rs
@@ -11,7 +11,7 @@
 mod beliefs;
 mod choice;
 mod concurrent_work;
-mod cordoned;
+mod cordons;
 pub mod cost;
 mod demand;
 mod dispatches;
@@ -35,15 +35,15 @@
 mod router;
 mod running_stats;
 mod signals;
-mod silences;
+mod unresponsive_engines;
 mod weights;
 mod working_set;
 
-pub use admission::{Admission, AdmissionDecision, LATE_RANK, PoolAdmission, Timing};
+pub use admission::{Admission, AdmissionDecision, LATE_RANK, PoolAdmission, RequestTiming};
 pub use beliefs::{PeerWork, PrefixNews, RANKS, SilenceWord, WorkSlice, rank_of};
 pub use choice::{EngineBeliefs, Explanation, PoolRoute};
 pub use concurrent_work::ConcurrentWork;
-pub use cordoned::{CordonInForce, LeftAlone};
+pub use cordons::{ActiveCordon, AvoidanceReason};
 pub use cost::shared_prefixes;
 pub use dispatches::{KvCacheSource, PoolTicket};
 pub use engine::{EngineLoad, EngineStage, EngineState, PoolEngine, ReportedLoad};
@@ -53,7 +53,7 @@
     EnginePace, EnginePaceUse, LastingPace, LastingPaceReport, MomentaryPace, PaceChange, PacePersistence,
     PaceReports, PaceSpread, PoolPace, ReportedPace,
 };
-pub use paths::{PathBelief, PathChange, Paths};
+pub use paths::{PathChange, PathState, Paths};
 pub use pool_speeds::PoolSpeeds;
 pub use prefill_speed::PrefillSpeed;
 pub use prefix::PrefixBelief;
@@ -62,6 +62,6 @@
 pub use router::PoolRouter;
 pub use running_stats::{EstimateError, PrefillPauses, RejectionRate};
 pub use signals::NotAccepting;
-pub use silences::EngineChange;
+pub use unresponsive_engines::EngineAvailabilityChange;
 pub use weights::PoolWeights;
 pub use working_set::{WorkingSetChange, WorkingSetSettings};
--- a/crates/core/src/routing/pool/pool_speeds.rs
+++ b/crates/core/src/routing/pool/pool_speeds.rs
@@ -1,6 +1,6 @@
 //! What a pool's engines were seen to take, by what they do.
 
-use super::pauses::EventPace;
+use super::pauses::EventInterval;
 use super::prefill_speed::{LARGEST_FACTOR, PrefillSpeed};
 use super::running_stats::{EstimateError, PrefillPauses, RejectionRate};
 use std::time::Duration;
@@ -45,7 +45,7 @@
     /// What outputs suffer from reading beside them.
     pub pauses: PrefillPauses,
     /// Time between two events of an output where nothing is read beside it, at a usual engine.
-    pub pace: EventPace,
+    pub pace: EventInterval,
     /// How many requests could not be in time.
     pub rejection_rate: RejectionRate,
 }
@@ -62,7 +62,7 @@
             queue_wait_seconds: ASSUMED_PLACE_WAIT_SECONDS,
             error: EstimateError::default(),
             pauses: PrefillPauses::default(),
-            pace: EventPace::default(),
+            pace: EventInterval::default(),
             rejection_rate: RejectionRate::default(),
         }
     }
--- a/crates/core/tests/placing.rs
+++ b/crates/core/tests/placing.rs
@@ -18,7 +18,7 @@
 };
 use shelfjunction_core::routing::pool::{
     Admission, EngineStage, PoolAdmission, PoolRouter, PoolWeights, PromptPart, PromptShape, RequestTerms,
-    Timing,
+    RequestTiming,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -188,10 +188,10 @@
 }
 
 fn admission(number: u64) -> PlacementQuery {
-    let timing = Timing {
+    let timing = RequestTiming {
         target: Duration::from_secs(1),
         remaining: Duration::from_secs(4),
-        returned: false,
+        is_retry: false,
     };
     question(number, 1, PlacementKind::Admission(timing))
 }
--- a/crates/core/tests/sharing_charges.rs
+++ b/crates/core/tests/sharing_charges.rs
@@ -13,7 +13,9 @@
     DispatchProgress, Placement, PlacementAnswer, PlacementKind, PlacementQuery, ProgressReport, RequestKey,
     RequestSummary,
 };
-use shelfjunction_core::routing::pool::{PoolAdmission, PromptPart, PromptShape, RequestTerms, Timing};
+use shelfjunction_core::routing::pool::{
+    PoolAdmission, PromptPart, PromptShape, RequestTerms, RequestTiming,
+};
 use shelfjunction_core::sharing::UseWord;
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -54,10 +56,10 @@
 }
 
 fn admission(number: u64) -> PlacementQuery {
-    let timing = Timing {
+    let timing = RequestTiming {
         target: Duration::from_secs(1),
         remaining: Duration::from_secs(4),
-        returned: false,
+        is_retry: false,
     };
     question(number, 1, PlacementKind::Admission(timing))
 }
--- a/crates/core/tests/sharing_world/mod.rs
+++ b/crates/core/tests/sharing_world/mod.rs
@@ -11,7 +11,7 @@
 };
 use shelfjunction_core::routing::pool::{
     Admission, EngineStage, PoolAdmission, PoolRouter, PoolWeights, PromptPart, PromptShape, RequestTerms,
-    Timing, WorkSlice, rank_of,
+    RequestTiming, WorkSlice, rank_of,
 };
 use shelfjunction_core::sharing::UseWord;
 use shelfjunction_core::time::MonotonicTime;
@@ -202,13 +202,13 @@
         }
     }
 
-    fn ask(&mut self, index: usize, returned: bool, asked_at: u64) {
+    fn ask(&mut self, index: usize, is_retry: bool, asked_at: u64) {
         let number = self.draw();
         let mut placer = (number % self.placers.len() as u64) as usize;
         while self.placers[placer].dead {
             placer = (placer + 1) % self.placers.len();
         }
-        let question = self.question(index, number, returned);
+        let question = self.question(index, number, is_retry);
         let now = self.now();
         let settings = self.settings.clone();
         let asked = &mut self.placers[placer];
@@ -219,7 +219,7 @@
         self.follow(index, placer, question, &answer, asked_at);
     }
 
-    fn question(&self, index: usize, number: u64, returned: bool) -> PlacementQuery {
+    fn question(&self, index: usize, number: u64, is_retry: bool) -> PlacementQuery {
         let sort = self.sorts[index];
         let target = Duration::from_millis(sort.target_millis);
         let remaining = Duration::from_secs(4);
@@ -250,10 +250,10 @@
                 rank: rank_of(sort.order) as u8,
                 remaining,
             },
-            kind: PlacementKind::Admission(Timing {
+            kind: PlacementKind::Admission(RequestTiming {
                 target,
                 remaining,
-                returned,
+                is_retry,
             }),
         }
     }
@@ -274,7 +274,7 @@
                     panic!("only admissions are refused");
                 };
                 let outcome = &mut self.outcomes[sort];
-                if timing.returned {
+                if timing.is_retry {
                     outcome.refused_twice += 1;
                     return;
                 }
