--- a/crates/core/src/engine_signals/mod.rs
+++ b/crates/core/src/engine_signals/mod.rs
@@ -4,14 +4,14 @@
 
 pub use register::{MAX_BACKOFF, SignalRegister};
 
-use crate::rate_limit::AnsweredLimit;
+use crate::rate_limit::ResponseLimit;
 use std::time::Duration;
 
 /// Signals in the headers of one response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineSignals {
     /// Rate limit of the engine.
-    pub rate_limit: AnsweredLimit,
+    pub rate_limit: ResponseLimit,
     /// Whether the engine drains: it finishes its requests and accepts no new ones.
     pub draining: bool,
     /// Time for which the engine wants no requests from this node.
--- a/crates/core/src/routing/pool/dispatches.rs
+++ b/crates/core/src/routing/pool/dispatches.rs
@@ -107,11 +107,11 @@
         let Some(state) = self.engines.get_mut(&ticket.engine) else {
             return;
         };
-        state.health.succeeded();
+        state.health.on_success();
         state.breaks.answered();
         record_prefixes(state, prefixes, &mut self.prefix_updates, now);
         self.paths
-            .note_answer(&ticket.sender_zone, &state.engine.zone, now);
+            .record_answer(&ticket.sender_zone, &state.engine.zone, now);
         let work = state.in_flight.remove(&ticket.number);
         if let Some(work) = work {
             self.observe_prefill(&ticket.engine, &work, |speeds| &mut speeds.prefill, now);
@@ -132,7 +132,7 @@
         };
         record_prefixes(state, prefixes, &mut self.prefix_updates, now);
         self.paths
-            .note_answer(&ticket.sender_zone, &state.engine.zone, now);
+            .record_answer(&ticket.sender_zone, &state.engine.zone, now);
         let Some(work) = state.in_flight.get_mut(&ticket.number) else {
             return;
         };
@@ -195,12 +195,12 @@
     pub fn on_answered(&mut self, ticket: &PoolTicket) {
         if let Some(state) = self.engines.get_mut(&ticket.engine) {
             let work = state.in_flight.remove(&ticket.number);
-            state.health.succeeded();
+            state.health.on_success();
             state.breaks.answered();
             // The time of the answer is not known here; the dispatch time is a lower bound.
             if let Some(work) = work {
                 self.paths
-                    .note_answer(&ticket.sender_zone, &state.engine.zone, work.sent_at);
+                    .record_answer(&ticket.sender_zone, &state.engine.zone, work.sent_at);
             }
         }
     }
@@ -216,10 +216,10 @@
     pub fn on_refused(&mut self, ticket: &PoolTicket, reason: EngineRefusalReason, now: MonotonicTime) {
         if let Some(state) = self.engines.get_mut(&ticket.engine) {
             state.in_flight.remove(&ticket.number);
-            state.note_answer(now);
-            state.health.refused(reason, now);
+            state.record_answer(now);
+            state.health.on_refusal(reason, now);
             self.paths
-                .note_answer(&ticket.sender_zone, &state.engine.zone, now);
+                .record_answer(&ticket.sender_zone, &state.engine.zone, now);
         }
     }
 
@@ -227,7 +227,7 @@
     pub fn on_broken(&mut self, ticket: &PoolTicket, now: MonotonicTime) {
         if let Some(state) = self.engines.get_mut(&ticket.engine) {
             state.in_flight.remove(&ticket.number);
-            state.health.broke(now);
+            state.health.on_connection_failure(now);
             state.breaks.broke(now);
         }
     }
@@ -315,7 +315,7 @@
             state
                 .recent_prefill
                 .observe(state.load(now).all_prompt_tokens(), now);
-            self.paths.note_sent(query.zone, &state.engine.zone, now);
+            self.paths.record_request(query.zone, &state.engine.zone, now);
         }
         PoolTicket {
             engine: engine.clone(),
@@ -331,7 +331,7 @@
     updates: &mut Vec<PrefixNews>,
     now: MonotonicTime,
 ) {
-    state.note_answer(now);
+    state.record_answer(now);
     state.prefixes.note_read(prefixes, now);
     // The update includes the block of this request alone: it cannot be shared, but displaces shared blocks from the cache.
     if !shared_prefixes(prefixes).is_empty() && updates.len() < MAX_PENDING_UPDATES {
--- a/crates/core/src/routing/pool/engine.rs
+++ b/crates/core/src/routing/pool/engine.rs
@@ -1,17 +1,17 @@
 //! State that the router keeps for each engine of a pool: listing, load, health and pending orders.
 
 use super::beliefs::{PeerWork, RANKS};
-use super::cordoned::EngineCordon;
+use super::cordons::EngineCordon;
 use super::dispatches::KvCacheSource;
 use super::pace::EnginePace;
-use super::pauses::RecentReading;
+use super::pauses::RecentPrefill;
 use super::prefill_speed::PrefillSpeed;
 use super::prefix::PrefixBelief;
 use super::risk::BreakShare;
 use crate::forwarding::PoolId;
 use crate::identity::{EngineId, NodeId, ZoneId};
 use crate::membership::subject::SubjectHandle;
-use crate::rate_limit::LimitBelief;
+use crate::rate_limit::LimitEstimate;
 use crate::routing::health::Health;
 use crate::time::MonotonicTime;
 use serde::{Deserialize, Serialize};
@@ -241,12 +241,12 @@
     pub(super) in_flight: BTreeMap<u64, InFlightWork>,
     pub(super) reported_load: Option<(ReportedLoad, MonotonicTime)>,
     /// Estimate of the rate limit that the engine reports in its responses.
-    pub(super) limit: LimitBelief,
+    pub(super) limit: LimitEstimate,
     pub(super) peers: BTreeMap<NodeId, (PeerWork, MonotonicTime)>,
     /// Ratio of actual to expected response time, at least one; used while `pace` is not in use.
     pub(super) slowness: f64,
     /// Recent peak of the prompt tokens waiting for prefill.
-    pub(super) recent_prefill: RecentReading,
+    pub(super) recent_prefill: RecentPrefill,
     /// Estimates of the engine's lasting and momentary pace.
     pub(super) pace: EnginePace,
 }
@@ -277,10 +277,10 @@
             breaks: BreakShare::default(),
             in_flight: BTreeMap::new(),
             reported_load: None,
-            limit: LimitBelief::default(),
+            limit: LimitEstimate::default(),
             peers: BTreeMap::new(),
             slowness: 1.0,
-            recent_prefill: RecentReading::default(),
+            recent_prefill: RecentPrefill::default(),
             pace: EnginePace::default(),
         }
     }
@@ -362,7 +362,7 @@
     }
 
     /// Records a response of the engine, to this node or to a peer.
-    pub(super) fn note_answer(&mut self, now: MonotonicTime) {
+    pub(super) fn record_answer(&mut self, now: MonotonicTime) {
         self.last_answer_at = Some(now);
     }
 
@@ -381,7 +381,7 @@
             && !self.engine.leaving
             && self.ordered_stage(now).is_none()
             && self.cordon_allows(now, last_resort)
-            && (last_resort || !(self.health.is_paused(now) || self.is_being_reclaimed(now)))
+            && (last_resort || !(self.health.is_backing_off(now) || self.is_being_reclaimed(now)))
     }
 
     /// Whether this start of the engine has ended; false while a removal is doubtful.
@@ -397,7 +397,7 @@
 
     /// Whether another engine may fetch KV cache from it, which a draining engine still allows.
     pub(super) fn can_be_fetched_from(&self, now: MonotonicTime) -> bool {
-        self.is_listed() && !self.health.is_paused(now)
+        self.is_listed() && !self.health.is_backing_off(now)
     }
 
     /// Whether the engine is listed and drains.
--- a/crates/core/src/routing/pool/limits.rs
+++ b/crates/core/src/routing/pool/limits.rs
@@ -5,12 +5,12 @@
 use crate::forwarding::PoolId;
 use crate::identity::EngineId;
 use crate::membership::subject::SubjectHandle;
-use crate::rate_limit::{AnsweredLimit, LimitChange, LimitNotice, RateLimit};
+use crate::rate_limit::{LimitChange, LimitNotice, RateLimit, ResponseLimit};
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
 /// Time for which a node goes on sending of a limit that an answer to it has named.
-const TOLD_AFTER_ANSWER: Duration = Duration::from_secs(2);
+const OWN_LIMIT_NOTICE_DURATION: Duration = Duration::from_secs(2);
 
 /// Time in which a change of the rate of requests shows by two thirds.
 const RATE_WINDOW: Duration = Duration::from_secs(5);
@@ -54,7 +54,7 @@
 
     /// Its limit as other nodes are told; absent where there is nothing to tell.
     pub fn limit_notice(&self, now: MonotonicTime) -> Option<LimitNotice> {
-        let (limit, age) = self.limit.told(now)?;
+        let (limit, age) = self.limit.advertised(now)?;
         Some(LimitNotice {
             engine: self.handle,
             limit,
@@ -69,12 +69,12 @@
     pub fn on_answered_limit(
         &mut self,
         engine: &EngineId,
-        said: &AnsweredLimit,
+        said: &ResponseLimit,
         sent_at: MonotonicTime,
         now: MonotonicTime,
     ) -> LimitChange {
         let state = self.engines.get_mut(engine);
-        state.map_or(LimitChange::Nothing, |state| {
+        state.map_or(LimitChange::Unchanged, |state| {
             state.limit.on_answer(said, sent_at, now)
         })
     }
@@ -88,7 +88,7 @@
         if wait > state.slot_wait(now) {
             state.limit.note_slot(wait, now);
         }
-        (change == LimitChange::Limit).then_some(&*state)
+        (change == LimitChange::Changed).then_some(&*state)
     }
 
     /// Notes how long the next slot of an engine is away.
@@ -99,19 +99,21 @@
     }
 
     /// Engines that name a limit and are listed.
-    pub fn limited(&self) -> impl Iterator<Item = &EngineState> {
+    pub fn rate_limited_engines(&self) -> impl Iterator<Item = &EngineState> {
         self.engines
             .values()
             .filter(|state| state.is_listed() && state.rate_limit().is_some())
     }
 
     /// What other nodes are told of limits; of those that an answer to this node named, or of all.
-    pub fn limit_notices(&self, named_here: bool, now: MonotonicTime) -> Vec<LimitNotice> {
+    pub fn limit_notices(&self, observed_here: bool, now: MonotonicTime) -> Vec<LimitNotice> {
         let named = self
             .engines
             .values()
             .filter(|state| state.is_listed())
-            .filter(|state| !named_here || state.limit.is_named_here(TOLD_AFTER_ANSWER, now));
+            .filter(|state| {
+                !observed_here || state.limit.is_confirmed_locally(OWN_LIMIT_NOTICE_DURATION, now)
+            });
         named.filter_map(|state| state.limit_notice(now)).collect()
     }
 
@@ -122,7 +124,7 @@
     }
 
     /// Part of what falls to an engine, of the requests of all nodes to engines of its stage, that its limit lets through.
-    pub(super) fn part_under_limit(&self, state: &EngineState, now: MonotonicTime) -> f64 {
+    pub(super) fn share_within_limit(&self, state: &EngineState, now: MonotonicTime) -> f64 {
         let Some(limit) = state.rate_limit() else {
             return 1.0;
         };
--- a/crates/core/src/routing/pool/peers.rs
+++ b/crates/core/src/routing/pool/peers.rs
@@ -107,7 +107,7 @@
                 memory_tokens: work.output_tokens,
                 places: f64::from(state.engine.places),
                 capacity_tokens: state.prefixes.capacity_tokens(),
-                part: self.part_under_limit(state, now),
+                part: self.share_within_limit(state, now),
             }
         });
         let speed = self.speeds(pool).prefill;
@@ -134,13 +134,13 @@
         for update in updates {
             if let Some(state) = self.state_of(update.engine) {
                 if update.just_answered {
-                    state.note_answer(now);
+                    state.record_answer(now);
                 }
-                let is_restored = update.just_answered && state.health.answered_elsewhere(now);
+                let is_restored = update.just_answered && state.health.on_peer_success(now);
                 state.prefixes.note_read(&update.prefixes, now);
                 let engine = is_restored.then(|| state.engine.id.clone());
                 if let Some(engine) = engine {
-                    self.note_engine_change(engine, None, true);
+                    self.record_availability_change(engine, None, true);
                 }
             }
         }
--- a/crates/core/src/routing/pool/pool_speeds.rs
+++ b/crates/core/src/routing/pool/pool_speeds.rs
@@ -1,6 +1,6 @@
 //! Measured durations of the stages of requests in one pool.
 
-use super::pauses::EventPace;
+use super::pauses::EventInterval;
 use super::prefill_speed::{MAX_OUTLIER_RATIO, PrefillSpeed};
 use super::running_stats::{EstimateError, PrefillPauses, RejectionRate};
 use std::time::Duration;
@@ -45,7 +45,7 @@
     /// Gaps between output events at engines with concurrent prefill.
     pub pauses: PrefillPauses,
     /// Time between two events of an output at an engine of average speed without concurrent prefill.
-    pub pace: EventPace,
+    pub pace: EventInterval,
     /// Share of requests that could not meet their deadline.
     pub rejection_rate: RejectionRate,
 }
@@ -62,7 +62,7 @@
             queue_wait_seconds: INITIAL_QUEUE_WAIT_SECONDS,
             estimate_error: EstimateError::default(),
             pauses: PrefillPauses::default(),
-            pace: EventPace::default(),
+            pace: EventInterval::default(),
             rejection_rate: RejectionRate::default(),
         }
     }
--- a/crates/core/tests/engine_starts.rs
+++ b/crates/core/tests/engine_starts.rs
@@ -12,14 +12,14 @@
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::placing::placement_table::PlacementTable;
 use shelfjunction_core::placing::question::{
-    PlacedRequest, Placement, Progress, ProgressReport, Question, RequestKey, Wanted,
+    DispatchProgress, Placement, PlacementKind, PlacementQuery, ProgressReport, RequestKey, RequestSummary,
 };
 use shelfjunction_core::quarantine::config::QuarantineSettings;
 use shelfjunction_core::quarantine::{Asked, Fingerprint, Quarantine, Standing};
 use shelfjunction_core::routing::pool::{
-    CordonInForce, EngineListing, EngineStage, EngineState, LeftAlone, ListChange, PeerWork, PoolAdmission,
-    PoolEngine, PoolRouter, PoolWeights, PrefixNews, PromptPart, PromptShape, ReportedLoad, RequestTerms,
-    WorkSlice,
+    ActiveCordon, AvoidanceReason, EngineListing, EngineStage, EngineState, ListChange, PeerWork,
+    PoolAdmission, PoolEngine, PoolRouter, PoolWeights, PrefixNews, PromptPart, PromptShape, ReportedLoad,
+    RequestTerms, WorkSlice,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -97,18 +97,18 @@
     }
 
     fn answer(&mut self, number: u64, step: u32, now: MonotonicTime) -> Placement {
-        let question = Question {
+        let question = PlacementQuery {
             key: key(number),
             step,
             request: request(),
-            wanted: Wanted::Engines { excluded: Vec::new() },
+            kind: PlacementKind::Retry { excluded: Vec::new() },
         };
         let settings = PoolAdmission::default();
         let answer = self.table.answer(&mut self.router, &question, &settings, now);
         answer.unwrap().placement
     }
 
-    fn progress(&mut self, number: u64, progress: Progress, now: MonotonicTime) {
+    fn progress(&mut self, number: u64, progress: DispatchProgress, now: MonotonicTime) {
         let report = ProgressReport {
             key: key(number),
             step: 1,
@@ -125,9 +125,9 @@
     }
 }
 
-fn request() -> PlacedRequest {
+fn request() -> RequestSummary {
     let part = |name, tokens| PromptPart { name, tokens };
-    PlacedRequest {
+    RequestSummary {
         pool: pool(),
         prompt: PromptShape {
             model: "m".to_owned(),
@@ -139,7 +139,7 @@
         zone: ZoneId::new("zone-a"),
         terms: RequestTerms::default(),
         rank: 1,
-        left: Duration::from_secs(4),
+        remaining: Duration::from_secs(4),
     }
 }
 
@@ -250,9 +250,15 @@
         work_time_percent: Some(900),
     };
     for node in &mut nodes {
-        node.progress(1, Progress::Begun { told: Some(told) }, at(110));
-        node.progress(1, Progress::Broken, at(111));
-        node.progress(2, Progress::Answered { pauses: vec![400] }, at(112));
+        node.progress(
+            1,
+            DispatchProgress::Started {
+                reported_load: Some(told),
+            },
+            at(110),
+        );
+        node.progress(1, DispatchProgress::ConnectionFailed, at(111));
+        node.progress(2, DispatchProgress::Answered { pauses: vec![400] }, at(112));
         node.router
             .on_peer_load(&peer, WorkSlice::ALL, &[(handle(1), work)], at(113));
         node.router.on_prefix_updates(&[news(1)], at(114));
@@ -337,18 +343,21 @@
 #[test]
 fn what_operators_cordon_by_its_identifier_stays_cordoned_when_it_starts_again() {
     let mut node = Node::new();
-    node.router.on_cordons(vec![CordonInForce {
+    node.router.on_cordons(vec![ActiveCordon {
         target: CordonTarget::Engine(NAME.to_owned()),
         until: at(60_000),
         forced: true,
     }]);
     node.hear(2, listed(2), false, at(100));
     assert!(matches!(
-        node.state(2).left_alone(at(110)),
-        Some(LeftAlone::Cordoned { .. })
+        node.state(2).avoidance_reason(at(110)),
+        Some(AvoidanceReason::Cordoned { .. })
     ));
     assert_eq!(node.answer(1, 1, at(111)), Placement::Nowhere);
-    assert_eq!(node.state(1).left_alone(at(111)), Some(LeftAlone::Gone));
+    assert_eq!(
+        node.state(1).avoidance_reason(at(111)),
+        Some(AvoidanceReason::Gone)
+    );
     let standing: Vec<_> = node
         .router
         .standings()
