--- a/crates/core/src/routing/pool/list_changes.rs
+++ b/crates/core/src/routing/pool/list_changes.rs
@@ -1,27 +1,27 @@
-//! When each entry of the platform's list of engines last changed, as far back as is known.
+//! Versions at which the entries of the platform's list of engines last changed.
 //!
-//! A node that knows only the engines in use of others may be handed a list that is older than what it reflects. An engine
-//! that it doesn't know may have been put out of use there, or may have left since; the version of the entry's last change
-//! decides which.
+//! A node that knows only the engines in use may receive a snapshot from a peer that is older than its own list. An engine
+//! in that snapshot that is unknown here was either put back into the reserve or removed since; the version of the entry's
+//! last change tells which.
 
 use crate::membership::subject::SubjectHandle;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Most entries whose last change is remembered: the latest. Some 60 bytes each.
-const MOST_REMEMBERED: usize = 4_096;
+/// Maximum number of entries whose last change is kept; the latest are kept. An entry takes about 60 bytes.
+const MAX_ENTRIES: usize = 4_096;
 
 /// The last changes of entries after some version of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownChanges {
-    /// Every change after this version is known.
+    /// All changes after this version are known.
     since: u64,
-    /// The version of the last change of each entry that changed since, by the digest of its name.
+    /// Version of the last change of each entry that changed after `since`, by the digest of its name.
     last: BTreeMap<SubjectHandle, u64>,
 }
 
 impl KnownChanges {
-    /// Nothing is known of changes up to a version.
+    /// An empty history, complete for changes after the given version.
     pub fn complete_since(version: u64) -> Self {
         Self {
             since: version,
@@ -29,22 +29,22 @@
         }
     }
 
-    /// Notes a change of an entry.
+    /// Records a change of an entry; a version older than the recorded one has no effect.
     pub fn note(&mut self, name: &str, version: u64) {
         let last = self.last.entry(digest(name)).or_default();
         *last = version.max(*last);
-        self.keep_bounded();
+        self.enforce_max_entries();
     }
 
-    /// Whether what an entry was at a version is known to be what it is now.
+    /// Whether the entry is known not to have changed after the given version.
     pub fn is_unchanged_since(&self, name: &str, version: u64) -> bool {
         version >= self.since && self.last.get(&digest(name)).is_none_or(|last| *last <= version)
     }
 
-    /// Adds what another node knows up to a later version than `reflected`, up to which this is known.
+    /// Merges the history of a peer, which reaches a later version than this one; this one is complete up to `reflected`.
     pub fn extend(&mut self, later: &Self, reflected: u64) {
         if later.since > reflected {
-            // What changed in between is known to neither.
+            // Changes between the two histories are unknown to both nodes.
             *self = later.clone();
             return;
         }
@@ -52,30 +52,30 @@
             let last = self.last.entry(*name).or_default();
             *last = (*last).max(*version);
         }
-        self.keep_bounded();
+        self.enforce_max_entries();
     }
 
-    /// The latest changes, of at most so many entries.
-    pub fn latest(&self, most: usize) -> Self {
+    /// The latest changes of at most `max_entries` entries.
+    pub fn latest(&self, max_entries: usize) -> Self {
         let mut latest = self.clone();
-        latest.drop_earliest(most);
+        latest.evict_earliest(max_entries);
         latest
     }
 
-    /// Drops a quarter at once, since dropping looks at all.
-    fn keep_bounded(&mut self) {
-        if self.last.len() > MOST_REMEMBERED {
-            self.drop_earliest(MOST_REMEMBERED * 3 / 4);
+    /// Evicts a quarter of the entries once the limit is exceeded, since each eviction scans all entries.
+    fn enforce_max_entries(&mut self) {
+        if self.last.len() > MAX_ENTRIES {
+            self.evict_earliest(MAX_ENTRIES * 3 / 4);
         }
     }
 
-    fn drop_earliest(&mut self, most: usize) {
-        if self.last.len() <= most {
+    fn evict_earliest(&mut self, max_entries: usize) {
+        if self.last.len() <= max_entries {
             return;
         }
         let mut versions: Vec<u64> = self.last.values().copied().collect();
         versions.sort_unstable();
-        self.since = versions[versions.len() - most - 1];
+        self.since = versions[versions.len() - max_entries - 1];
         self.last.retain(|_, version| *version > self.since);
     }
 }
--- a/crates/core/src/routing/pool/listing.rs
+++ b/crates/core/src/routing/pool/listing.rs
@@ -1,11 +1,11 @@
-//! Which changes of the platform's list of engines are new.
+//! The platform's list of engines, as this node knows it.
 //!
-//! A node hears of changes from the store and, where the store does not answer it, from other nodes. Both number them
-//! by the store's version, so the older word of one never undoes the newer word of the other.
+//! A node receives changes of the list from the store and, while the store does not answer, from its peers. All changes
+//! carry the store's version, so an older message of one source never overrides a newer one of another.
 //!
-//! An engine that starts again may keep its name, so the list holds one start of each name: the latest that was ever
-//! listed. What is said of an earlier one changes nothing, whatever version it bears, since the store may carry out the
-//! write of an engine seconds after that engine has ended.
+//! An engine that restarts may keep its name. The list holds only the latest start of each name. Messages about an earlier
+//! start are ignored whatever their version, because the store may carry out an engine's write seconds after that engine
+//! has ended.
 
 use super::ended_starts::EndedStarts;
 use super::engine::PoolEngine;
@@ -17,16 +17,16 @@
 /// One change of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListChange {
-    /// An engine is listed so.
+    /// The engine was added, or its entry changed.
     Listed(PoolEngine),
-    /// An engine is listed no longer. Without a start, as the store tells it, whichever start is listed.
+    /// The engine was removed. Changes read from the store carry no start; they remove whichever start is listed.
     Gone(EngineId),
-    /// The entry of this name can't be read, so that it names no engine to use.
+    /// The entry cannot be parsed, so no engine of this name is listed.
     Unreadable(EngineId),
 }
 
 impl ListChange {
-    /// Name of the engine.
+    /// Name of the engine that the change concerns.
     pub fn name(&self) -> &str {
         match self {
             Self::Listed(engine) => engine.id.as_str(),
@@ -38,85 +38,88 @@
 /// The list as of one version of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListSnapshot {
-    /// Version of the store that it reflects.
+    /// Version of the store that the snapshot reflects.
     pub version: u64,
-    /// Engines.
+    /// Listed engines, at most one start of each name.
     pub engines: Vec<PoolEngine>,
-    /// Names of the entries that can't be read.
+    /// Names of the entries that cannot be parsed.
     pub unreadable: Vec<String>,
 }
 
-/// The list as this node knows it.
+/// The list of engines as this node knows it.
 #[derive(Clone, Debug, Default)]
 pub struct EngineListing {
-    /// The start that is listed of each name.
+    /// The listed start of each engine, by name.
     engines: BTreeMap<String, PoolEngine>,
-    /// Names of the entries that can't be read.
+    /// Names of the entries that cannot be parsed.
     unreadable: BTreeSet<String>,
-    ended: EndedStarts,
-    /// Everything up to this version is reflected.
+    ended_starts: EndedStarts,
+    /// All changes up to this version have been applied.
     reflected_version: u64,
-    /// Version of the last change.
+    /// Version of the last change that had an effect.
     last_change_version: u64,
-    /// When entries last changed, those of engines that are not known here among them.
+    /// Versions of the last changes of entries, including entries of engines that are not known here.
     known_changes: KnownChanges,
-    /// Whether only the engines in use of another node are known.
+    /// Whether the list holds only the engines that a peer had in use.
     partial: bool,
 }
 
 impl EngineListing {
-    /// Takes changes, each with its version, up to `reflected`; returns those that are new, in the order of versions.
+    /// Applies versioned changes that together cover everything up to `reflected`. Returns those that had an effect, in
+    /// the order of their versions.
     pub fn apply(&mut self, mut changes: Vec<(u64, ListChange)>, reflected: u64) -> Vec<ListChange> {
         let before = self.reflected_version;
         changes.sort_by_key(|(version, _)| *version);
-        let mut taken = Vec::new();
+        let mut applied = Vec::new();
         for (version, change) in changes {
             if version <= before {
                 continue;
             }
             self.known_changes.note(change.name(), version);
-            if self.partial && self.is_new(&change) {
+            if self.partial && self.lists_unknown_engine(&change) {
                 continue;
             }
-            let new = self.take(change);
+            let new = self.apply_change(change);
             if !new.is_empty() {
                 self.last_change_version = self.last_change_version.max(version);
             }
-            taken.extend(new);
+            applied.extend(new);
         }
         self.reflected_version = self.reflected_version.max(reflected);
-        taken
+        applied
     }
 
-    /// Takes the whole list, if it is newer than what is known; returns the changes that it amounts to.
+    /// Replaces the list by a complete snapshot unless the snapshot is older. Returns the resulting changes.
     pub fn replace(&mut self, snapshot: &ListSnapshot) -> Vec<ListChange> {
         if snapshot.version < self.reflected_version {
             return Vec::new();
         }
-        let knew_all = self.reflected_version > 0 && !self.partial;
-        let taken: Vec<ListChange> = self
-            .changes_to(snapshot)
+        let was_complete = self.reflected_version > 0 && !self.partial;
+        let applied: Vec<ListChange> = self
+            .changes_towards(snapshot)
             .into_iter()
-            .flat_map(|change| self.take(change))
+            .flat_map(|change| self.apply_change(change))
             .collect();
-        if !taken.is_empty() {
+        if !applied.is_empty() {
             self.last_change_version = snapshot.version;
         }
-        if knew_all {
-            let names = taken.iter().map(ListChange::name);
+        if was_complete {
+            let names = applied.iter().map(ListChange::name);
             names.for_each(|name| self.known_changes.note(name, snapshot.version));
         } else {
             self.known_changes = KnownChanges::complete_since(snapshot.version);
         }
         self.reflected_version = snapshot.version;
         self.partial = false;
-        taken
+        applied
     }
 
-    /// Takes the engines in use of another node. Where the whole list is known and not older, they say nothing that it
-    /// doesn't; an older one is given up, since nobody keeps it for a node that takes these. `changes` is what the other node
-    /// knows of changes up to the version of the snapshot; of an older one only those engines are taken whose entries are known
-    /// not to have changed since.
+    /// Applies a snapshot of the engines that a peer has in use, which makes the list partial.
+    ///
+    /// Ignored if the complete list is known here and is at least as new. A complete list that is older is discarded,
+    /// because a node that relies on such snapshots does not receive the updates that would keep it current. `changes` are
+    /// the peer's known changes up to the snapshot's version. If the snapshot is older than the partial list, only engines
+    /// whose entries are known not to have changed since are taken from it. Returns the resulting changes.
     pub fn apply_in_use_snapshot(
         &mut self,
         snapshot: &ListSnapshot,
@@ -127,21 +130,21 @@
         }
         self.partial = true;
         if snapshot.version < self.reflected_version {
-            return self.add_unknown(snapshot);
+            return self.add_unknown_engines(snapshot);
         }
         self.known_changes.extend(changes, self.reflected_version);
         self.reflected_version = snapshot.version;
-        let mut taken = self.drop_unnamed(snapshot);
+        let mut applied = self.drop_absent(snapshot);
         let engines = snapshot.engines.iter().cloned();
-        taken.extend(engines.flat_map(|engine| self.take_listed(engine)));
-        if !taken.is_empty() {
+        applied.extend(engines.flat_map(|engine| self.apply_listed(engine)));
+        if !applied.is_empty() {
             self.last_change_version = snapshot.version;
         }
-        taken
+        applied
     }
 
-    /// Drops the engines that another node has no longer in use. They may live, so their starts don't count as ended.
-    fn drop_unnamed(&mut self, snapshot: &ListSnapshot) -> Vec<ListChange> {
+    /// Drops the engines that are not in the snapshot. They may still run, so their starts are not recorded as ended.
+    fn drop_absent(&mut self, snapshot: &ListSnapshot) -> Vec<ListChange> {
         let named: BTreeSet<&str> = snapshot.engines.iter().map(|engine| engine.id.as_str()).collect();
         let (kept, dropped) = std::mem::take(&mut self.engines)
             .into_iter()
@@ -154,8 +157,8 @@
             .collect()
     }
 
-    /// Adds the engines of an older list that are not known here, and whose entries have not changed since.
-    fn add_unknown(&mut self, snapshot: &ListSnapshot) -> Vec<ListChange> {
+    /// Adds engines of an older snapshot that are not known here and whose entries have not changed since.
+    fn add_unknown_engines(&mut self, snapshot: &ListSnapshot) -> Vec<ListChange> {
         let engines = snapshot.engines.iter();
         let unknown = engines.filter(|engine| {
             let name = engine.id.as_str();
@@ -164,21 +167,22 @@
         let unknown: Vec<PoolEngine> = unknown.cloned().collect();
         unknown
             .into_iter()
-            .flat_map(|engine| self.take_listed(engine))
+            .flat_map(|engine| self.apply_listed(engine))
             .collect()
     }
 
-    /// Whether only the engines in use of another node are known.
+    /// Whether the list holds only the engines that a peer had in use.
     pub fn is_partial(&self) -> bool {
         self.partial
     }
 
-    /// Whether a change lists an engine of which nothing is known.
-    fn is_new(&self, change: &ListChange) -> bool {
+    /// Whether the change lists an engine whose name is not known here.
+    fn lists_unknown_engine(&self, change: &ListChange) -> bool {
         matches!(change, ListChange::Listed(engine) if !self.engines.contains_key(engine.id.as_str()))
     }
 
-    fn changes_to(&self, snapshot: &ListSnapshot) -> Vec<ListChange> {
+    /// Changes that turn the current list into the snapshot.
+    fn changes_towards(&self, snapshot: &ListSnapshot) -> Vec<ListChange> {
         let named: BTreeSet<&str> = snapshot
             .engines
             .iter()
@@ -195,7 +199,7 @@
         gone.chain(unreadable).chain(listed).collect()
     }
 
-    /// The whole list, for another node.
+    /// The whole list, to be sent to a peer.
     pub fn snapshot(&self) -> ListSnapshot {
         ListSnapshot {
             version: self.reflected_version,
@@ -204,10 +208,11 @@
         }
     }
 
-    /// Some of the engines, for another node. They are told as this list has them, so that whoever takes them lacks nothing
-    /// up to its version: who named them may not have taken the last change yet.
-    pub fn snapshot_of(&self, named: &[PoolEngine]) -> ListSnapshot {
-        let listed = named
+    /// The listed entries of the given engines, to be sent to a peer.
+    ///
+    /// Entries are taken from this list and not from `engines`, which may lag behind the snapshot's version.
+    pub fn snapshot_of(&self, engines: &[PoolEngine]) -> ListSnapshot {
+        let listed = engines
             .iter()
             .filter_map(|engine| self.engines.get(engine.id.as_str()));
         ListSnapshot {
@@ -217,50 +222,50 @@
         }
     }
 
-    /// What is known of the last changes of entries, for another node: of at most so many.
-    pub fn known_changes(&self, most: usize) -> KnownChanges {
-        self.known_changes.latest(most)
+    /// The latest known changes of at most `max_entries` entries, to be sent to a peer.
+    pub fn known_changes(&self, max_entries: usize) -> KnownChanges {
+        self.known_changes.latest(max_entries)
     }
 
-    /// Version up to which everything is reflected.
+    /// Version up to which all changes have been applied; zero at the start.
     pub fn reflected_version(&self) -> u64 {
         self.reflected_version
     }
 
-    /// Version of the last change; a node that reflects less lacks something.
+    /// Version of the last change that had an effect. A node whose reflected version is lower lacks changes.
     pub fn last_change_version(&self) -> u64 {
         self.last_change_version
     }
 
-    /// Whether this start of an engine is listed.
-    pub fn lists(&self, engine: &EngineId) -> bool {
+    /// Whether exactly this start of the engine is listed.
+    pub fn is_listed(&self, engine: &EngineId) -> bool {
         self.engines
             .get(engine.as_str())
             .is_some_and(|listed| listed.id == *engine)
     }
 
-    /// The latest start that was ever told of a name; zero where none was.
+    /// The latest known start of this name, listed or ended; zero if none is known.
     pub fn latest_start(&self, name: &str) -> EngineStart {
         let listed = self.engines.get(name).map(|engine| engine.id.start());
-        listed.unwrap_or_default().max(self.ended.latest(name))
+        listed.unwrap_or_default().max(self.ended_starts.latest(name))
     }
 
-    /// Takes one change; what it amounts to, which is nothing where it changes nothing.
-    fn take(&mut self, change: ListChange) -> Vec<ListChange> {
+    /// Applies one change. Returns the resulting changes, none if the list stays as it is.
+    fn apply_change(&mut self, change: ListChange) -> Vec<ListChange> {
         match change {
-            ListChange::Listed(engine) => self.take_listed(engine),
-            ListChange::Gone(engine) => self.take_gone(&engine),
-            ListChange::Unreadable(entry) => self.take_unreadable(entry),
+            ListChange::Listed(engine) => self.apply_listed(engine),
+            ListChange::Gone(engine) => self.apply_gone(&engine),
+            ListChange::Unreadable(entry) => self.apply_unreadable(entry),
         }
     }
 
-    fn take_listed(&mut self, engine: PoolEngine) -> Vec<ListChange> {
+    fn apply_listed(&mut self, engine: PoolEngine) -> Vec<ListChange> {
         let name = engine.id.as_str();
         if engine.id.start() < self.latest_start(name) {
             return Vec::new();
         }
         self.unreadable.remove(name);
-        self.ended.forget(name);
+        self.ended_starts.forget(name);
         let before = self.engines.insert(name.to_owned(), engine.clone());
         match before {
             Some(before) if before == engine => Vec::new(),
@@ -271,32 +276,32 @@
         }
     }
 
-    fn take_gone(&mut self, engine: &EngineId) -> Vec<ListChange> {
+    fn apply_gone(&mut self, engine: &EngineId) -> Vec<ListChange> {
         let name = engine.as_str();
-        let tells_start = engine.start() != EngineStart::default();
-        if tells_start && engine.start() < self.latest_start(name) {
+        let has_start = engine.start() != EngineStart::default();
+        if has_start && engine.start() < self.latest_start(name) {
             return Vec::new();
         }
         self.unreadable.remove(name);
-        self.ended.note(engine);
-        self.end(name).map(ListChange::Gone).into_iter().collect()
+        self.ended_starts.note(engine);
+        self.remove_listed(name).map(ListChange::Gone).into_iter().collect()
     }
 
-    fn take_unreadable(&mut self, entry: EngineId) -> Vec<ListChange> {
+    fn apply_unreadable(&mut self, entry: EngineId) -> Vec<ListChange> {
         let is_new = self.unreadable.insert(entry.as_str().to_owned());
-        let listed = self.end(entry.as_str());
+        let listed = self.remove_listed(entry.as_str());
         match listed {
             Some(listed) => vec![ListChange::Unreadable(listed)],
-            // One that is gone may still be in use for a while where the store was in trouble.
+            // After store trouble, a removed engine may stay in use for a while, so the change is still reported.
             None if is_new => vec![ListChange::Unreadable(entry)],
             None => Vec::new(),
         }
     }
 
-    /// Takes whichever start is listed of a name off the list.
-    fn end(&mut self, name: &str) -> Option<EngineId> {
+    /// Removes whichever start of this name is listed and records it as ended.
+    fn remove_listed(&mut self, name: &str) -> Option<EngineId> {
         let listed = self.engines.remove(name)?;
-        self.ended.note(&listed.id);
+        self.ended_starts.note(&listed.id);
         Some(listed.id)
     }
 }
--- a/crates/core/tests/engine_listing.rs
+++ b/crates/core/tests/engine_listing.rs
@@ -49,7 +49,7 @@
 fn a_later_start_takes_the_place_of_the_earlier_one() {
     let (mut listing, next) = with(&[listed(1)]);
     assert_eq!(listing.apply(vec![(next, listed(2))], next), [gone(1), listed(2)]);
-    assert!(listing.lists(&id(2)) && !listing.lists(&id(1)));
+    assert!(listing.is_listed(&id(2)) && !listing.is_listed(&id(1)));
     assert_eq!(listing.snapshot().engines, [engine(2)]);
 }
 
@@ -58,7 +58,7 @@
     for before in [&[listed(2)][..], &[listed(2), gone_by_name()]] {
         let (mut listing, next) = with(before);
         assert_eq!(listing.apply(vec![(next, listed(1))], next), []);
-        assert!(!listing.lists(&id(1)));
+        assert!(!listing.is_listed(&id(1)));
         assert_eq!(listing.latest_start(NAME), EngineStart(2));
     }
 }
@@ -67,7 +67,7 @@
 fn the_end_of_an_earlier_start_does_not_end_the_later_one() {
     let (mut listing, next) = with(&[listed(1), listed(2)]);
     assert_eq!(listing.apply(vec![(next, gone(1))], next), []);
-    assert!(listing.lists(&id(2)));
+    assert!(listing.is_listed(&id(2)));
 }
 
 #[test]
--- a/crates/core/tests/forwarding.rs
+++ b/crates/core/tests/forwarding.rs
@@ -204,7 +204,7 @@
         unreadable: Vec::new(),
     };
     assert!(listing.replace(&stale_read).is_empty());
-    assert!(listing.lists(&EngineId::new("one")) && !listing.lists(&EngineId::new("two")));
+    assert!(listing.is_listed(&EngineId::new("one")) && !listing.is_listed(&EngineId::new("two")));
     assert_eq!(
         (listing.last_change_version(), listing.reflected_version()),
         (13, 13)
