--- a/crates/core/src/routing/pool/listing.rs
+++ b/crates/core/src/routing/pool/listing.rs
@@ -284,7 +284,10 @@
         }
         self.unreadable.remove(name);
         self.ended_starts.note(engine);
-        self.remove_listed(name).map(ListChange::Gone).into_iter().collect()
+        self.remove_listed(name)
+            .map(ListChange::Gone)
+            .into_iter()
+            .collect()
     }
 
     fn apply_unreadable(&mut self, entry: EngineId) -> Vec<ListChange> {
--- a/crates/core/src/routing/pool/working_set/groups.rs
+++ b/crates/core/src/routing/pool/working_set/groups.rs
@@ -1,4 +1,4 @@
-//! The groups of engines, and which of them are in use; knows nothing of their work.
+//! Groups of engines and which engines of each group are in use; independent of the engines' load.
 
 use super::{WorkingSetChange, WorkingSetSettings};
 use crate::forwarding::PoolId;
@@ -8,8 +8,8 @@
 use crate::time::MonotonicTime;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Most changes that wait to be told in the log.
-const MOST_UNTOLD: usize = 64;
+/// Maximum number of changes that wait to be logged; further ones are logged later.
+const MAX_UNLOGGED_CHANGES: usize = 64;
 
 /// Engines of one pool, zone and stage.
 #[derive(Clone, Debug)]
@@ -17,20 +17,20 @@
     pub(super) pool: PoolId,
     pub(super) zone: ZoneId,
     pub(super) stage: EngineStage,
-    /// Engines in use that stay.
+    /// Engines in use that are not leaving.
     pub(super) in_use: BTreeSet<SubjectHandle>,
-    /// The others.
+    /// Engines that are listed, not leaving and not in use.
     pub(super) reserve: BTreeMap<SubjectHandle, PoolEngine>,
-    /// Engines that the load of late asks for.
+    /// Engines that the recent load needs; decays after a peak.
     pub(super) wanted: f64,
-    /// Engines in use that took no work at the last look.
+    /// Engines in use that took no work at the last update.
     pub(super) unusable: usize,
-    /// Engines in use when the log was last told.
-    told: usize,
+    /// Engines in use when the last change was logged.
+    last_logged: usize,
 }
 
 impl Group {
-    pub(super) fn is_of(&self, engine: &PoolEngine) -> bool {
+    pub(super) fn matches_engine(&self, engine: &PoolEngine) -> bool {
         self.stage == engine.stage && self.zone == engine.zone && self.pool == engine.pool
     }
 
@@ -38,48 +38,50 @@
         self.wanted.ceil() as usize + self.unusable
     }
 
-    /// The first of the reserve, if it should be in use.
-    pub(super) fn next_due(&self, whole: bool) -> Option<SubjectHandle> {
+    /// The first engine of the reserve if it should be in use: all engines are, the target is not reached, or it precedes
+    /// an engine in use.
+    pub(super) fn next_from_reserve(&self, uses_all: bool) -> Option<SubjectHandle> {
         let first = *self.reserve.keys().next()?;
         let precedes = self.in_use.last().is_some_and(|last| first < *last);
-        (whole || self.in_use.len() < self.target() || precedes).then_some(first)
+        (uses_all || self.in_use.len() < self.target() || precedes).then_some(first)
     }
 
-    /// The last engine in use, if there are more than wanted.
-    pub(super) fn excess(&self) -> Option<SubjectHandle> {
+    /// The last engine in use if there are more than the target.
+    pub(super) fn next_to_retire(&self) -> Option<SubjectHandle> {
         (self.in_use.len() > self.target()).then(|| self.in_use.last().copied())?
     }
 }
 
-/// Which of the listed engines are in use.
+/// The listed engines by group, and which of them are in use.
 #[derive(Clone, Debug, Default)]
 pub(in crate::routing::pool) struct WorkingSet {
     pub(super) groups: Vec<Group>,
-    /// Number of the group of each engine that is listed and stays.
+    /// Index of the group of each engine that is listed and not leaving.
     pub(super) group_of: HashMap<SubjectHandle, usize>,
-    /// Engines of each pool that are listed and stay.
+    /// Number of engines of each pool that are listed and not leaving.
     listed: BTreeMap<PoolId, usize>,
-    /// Pools whose engines are paid by the second.
+    /// Pools whose engines are billed by the second.
     pub(in crate::routing::pool) billed_pools: BTreeSet<PoolId>,
-    pub(super) looked_at: Option<MonotonicTime>,
-    pub(super) untold: Vec<WorkingSetChange>,
+    pub(super) last_updated_at: Option<MonotonicTime>,
+    pub(super) unlogged_changes: Vec<WorkingSetChange>,
 }
 
 impl WorkingSet {
-    pub(super) fn is_whole(&self, pool: &PoolId, settings: &WorkingSetSettings) -> bool {
+    /// Whether all engines of the pool are in use.
+    pub(super) fn uses_all_engines(&self, pool: &PoolId, settings: &WorkingSetSettings) -> bool {
         let listed = self.listed.get(pool).copied().unwrap_or_default();
         listed <= settings.whole_up_to || self.billed_pools.contains(pool)
     }
 
-    /// Lists an engine in its group, in use or not; the number of the group.
-    pub(super) fn enter(
+    /// Adds an engine to its group without bringing it into use. Returns the index of the group.
+    pub(super) fn add_engine(
         &mut self,
         handle: SubjectHandle,
         engine: &PoolEngine,
         settings: &WorkingSetSettings,
     ) -> usize {
-        let found = self.groups.iter().position(|group| group.is_of(engine));
-        let number = found.unwrap_or_else(|| {
+        let found = self.groups.iter().position(|group| group.matches_engine(engine));
+        let index = found.unwrap_or_else(|| {
             self.groups.push(Group {
                 pool: engine.pool.clone(),
                 zone: engine.zone.clone(),
@@ -88,33 +90,34 @@
                 reserve: BTreeMap::new(),
                 wanted: settings.least_in_group as f64,
                 unusable: 0,
-                told: 0,
+                last_logged: 0,
             });
             self.groups.len() - 1
         });
-        if self.group_of.insert(handle, number).is_none() {
+        if self.group_of.insert(handle, index).is_none() {
             *self.listed.entry(engine.pool.clone()).or_default() += 1;
         }
-        number
+        index
     }
 
-    /// Takes an engine out of its group; the number of the group.
-    pub(super) fn leave(&mut self, handle: SubjectHandle) -> Option<usize> {
-        let number = self.group_of.remove(&handle)?;
-        let group = &mut self.groups[number];
+    /// Removes an engine from its group. Returns the index of the group.
+    pub(super) fn remove_engine(&mut self, handle: SubjectHandle) -> Option<usize> {
+        let index = self.group_of.remove(&handle)?;
+        let group = &mut self.groups[index];
         group.in_use.remove(&handle);
         group.reserve.remove(&handle);
         if let Some(listed) = self.listed.get_mut(&group.pool) {
             *listed -= 1;
         }
-        Some(number)
+        Some(index)
     }
 
-    pub(super) fn note_changes(&mut self) {
+    /// Queues a change for the log for each group whose number of engines in use differs from the logged one.
+    pub(super) fn queue_changes_for_log(&mut self) {
         for group in &mut self.groups {
-            if group.told != group.in_use.len() && self.untold.len() < MOST_UNTOLD {
-                group.told = group.in_use.len();
-                self.untold.push(WorkingSetChange {
+            if group.last_logged != group.in_use.len() && self.unlogged_changes.len() < MAX_UNLOGGED_CHANGES {
+                group.last_logged = group.in_use.len();
+                self.unlogged_changes.push(WorkingSetChange {
                     pool: group.pool.clone(),
                     zone: group.zone.clone(),
                     stage: group.stage,
--- a/crates/core/src/routing/pool/working_set/growth.rs
+++ b/crates/core/src/routing/pool/working_set/growth.rs
@@ -1,4 +1,4 @@
-//! Draws upon the reserve before a request is refused, served late or sent nowhere.
+//! Brings engines of the reserve into use before a request is rejected, late or left without an engine.
 
 use crate::forwarding::PoolId;
 use crate::identity::EngineId;
@@ -9,15 +9,15 @@
 use crate::routing::pool::router::PoolRouter;
 use crate::time::MonotonicTime;
 
-/// Part by which groups grow where a request would be refused or late otherwise.
-const GROWTH: f64 = 0.25;
+/// Fraction by which a group grows in one step.
+const GROWTH_FRACTION: f64 = 0.25;
 
-/// Times that the reserve is drawn upon for one request: five growths by a quarter treble the engines in use.
-const MOST_GROWTHS: usize = 5;
+/// Maximum number of growth steps for one request. Five steps about triple the engines in use.
+const MAX_GROWTH_STEPS: usize = 5;
 
 impl PoolRouter {
-    /// Like [`Self::admit`]; a request is refused, served late or sent nowhere only if no engine of the reserve would
-    /// stand idle meanwhile.
+    /// Like [`Self::admit`], but brings engines of the reserve into use if the request would otherwise be rejected, late or
+    /// without an engine.
     pub fn admit_or_grow(
         &mut self,
         query: &PoolQuery<'_>,
@@ -25,44 +25,45 @@
         settings: &PoolAdmission,
         now: MonotonicTime,
     ) -> AdmissionDecision {
-        let is_well = |decision: &AdmissionDecision| {
+        let is_acceptable = |decision: &AdmissionDecision| {
             decision.admission == Admission::InTime && decision.route != PoolRoute::Nowhere
         };
-        self.growing(query.pool, now, is_well, |router| {
+        self.decide_with_growth(query.pool, now, is_acceptable, |router| {
             router.admit(query, timing, settings, now)
         })
     }
 
-    /// Like [`Self::choose`]; there is nowhere to go only where the reserve has nothing either.
+    /// Like [`Self::choose`], but brings engines of the reserve into use if no engine in use can take the request.
     pub fn choose_or_grow(&mut self, query: &PoolQuery<'_>, now: MonotonicTime) -> PoolRoute {
-        let is_well = |route: &PoolRoute| *route != PoolRoute::Nowhere;
-        self.growing(query.pool, now, is_well, |router| router.choose(query, now))
+        let is_acceptable = |route: &PoolRoute| *route != PoolRoute::Nowhere;
+        self.decide_with_growth(query.pool, now, is_acceptable, |router| router.choose(query, now))
     }
 
-    /// Like [`Self::choose_output`]; absent only where the reserve has nothing either.
+    /// Like [`Self::choose_output`], but brings engines of the reserve into use if no engine in use can take the request.
+    /// Absent if none of the reserve can either.
     pub fn choose_output_or_grow(
         &mut self,
         query: &PoolQuery<'_>,
         source: &EngineId,
         now: MonotonicTime,
     ) -> Option<PoolEngine> {
-        self.growing(query.pool, now, Option::is_some, |router| {
+        self.decide_with_growth(query.pool, now, Option::is_some, |router| {
             router.choose_output(query, source, now)
         })
     }
 
-    /// Decides, and decides again with more engines in use until it is well or there are none to take.
-    fn growing<Decision>(
+    /// Repeats a decision with more engines in use until it is acceptable or no further engine can be brought into use.
+    fn decide_with_growth<Decision>(
         &mut self,
         pool: &PoolId,
         now: MonotonicTime,
-        is_well: impl Fn(&Decision) -> bool,
+        is_acceptable: impl Fn(&Decision) -> bool,
         decide: impl Fn(&Self) -> Decision,
     ) -> Decision {
         self.update_working_set(now);
         let mut decision = decide(self);
-        for _ in 0..MOST_GROWTHS {
-            if is_well(&decision) || !self.grow(pool, now) {
+        for _ in 0..MAX_GROWTH_STEPS {
+            if is_acceptable(&decision) || !self.grow(pool, now) {
                 break;
             }
             decision = decide(self);
@@ -70,31 +71,31 @@
         decision
     }
 
-    /// Draws upon the reserve of each stage of which no engine in use stands idle; whether there was one to take.
+    /// Grows the groups of each stage without an idle engine in use. Returns whether any engine was brought into use.
     fn grow(&mut self, pool: &PoolId, now: MonotonicTime) -> bool {
         let mut grown = false;
         for stage in [EngineStage::Whole, EngineStage::Prefill, EngineStage::Decode] {
             let groups = self.working_set.groups.iter().enumerate();
-            let of_stage: Vec<usize> = groups
+            let stage_groups: Vec<usize> = groups
                 .filter(|(_, group)| group.stage == stage && group.pool == *pool)
-                .map(|(number, _)| number)
+                .map(|(index, _)| index)
                 .collect();
-            if of_stage.iter().any(|number| self.has_idle(*number, now)) {
+            if stage_groups.iter().any(|index| self.has_idle_engine(*index, now)) {
                 continue;
             }
-            for number in of_stage {
-                let group = &mut self.working_set.groups[number];
+            for index in stage_groups {
+                let group = &mut self.working_set.groups[index];
                 let before = group.in_use.len();
-                group.wanted = (before as f64 * (1.0 + GROWTH)).ceil().max(group.wanted) + 1.0;
-                self.refill(number);
-                grown |= self.working_set.groups[number].in_use.len() > before;
+                group.wanted = (before as f64 * (1.0 + GROWTH_FRACTION)).ceil().max(group.wanted) + 1.0;
+                self.refill(index);
+                grown |= self.working_set.groups[index].in_use.len() > before;
             }
         }
         grown
     }
 
-    fn has_idle(&self, number: usize, now: MonotonicTime) -> bool {
-        let mut states = self.states_of_group(number);
+    fn has_idle_engine(&self, index: usize, now: MonotonicTime) -> bool {
+        let mut states = self.states_of_group(index);
         states.any(|state| {
             state.takes_work(now, false)
                 && state.is_idle(now)
--- a/crates/core/src/routing/pool/working_set/load.rs
+++ b/crates/core/src/routing/pool/working_set/load.rs
@@ -1,4 +1,4 @@
-//! What the engines in use have to do.
+//! Load of the engines in use.
 
 use crate::routing::pool::engine::{EngineStage, EngineState};
 use crate::routing::pool::router::PoolRouter;
@@ -6,34 +6,34 @@
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// Seconds of reading ahead that count as one busy engine: callers of short prompts are late after about as much.
-const QUEUE_OF_ONE: f64 = 0.5;
+/// Seconds of queued prefill that count as one busy engine. About this long a queue makes short prompts late.
+const PREFILL_SECONDS_PER_BUSY_ENGINE: f64 = 0.5;
 
-/// What the engines in use of a group have to do.
+/// Load of the engines in use of a group.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct GroupLoad {
-    /// Engines that the work would keep busy.
-    pub(super) busy: f64,
-    /// Engines that take no work now.
+    /// Number of engines that the work would keep busy.
+    pub(super) busy_engines: f64,
+    /// Engines in use that take no work now.
     pub(super) unusable: usize,
 }
 
 impl EngineState {
-    /// Engines that the work here would keep busy.
-    fn busy(&self, line: &ReadingSpeed, now: MonotonicTime) -> f64 {
+    /// Number of engines that the work at this engine would keep busy; above one if requests queue.
+    fn busy_engines(&self, prefill_speed: &ReadingSpeed, now: MonotonicTime) -> f64 {
         let work = self.work(now);
         if self.engine.stage != EngineStage::Prefill {
-            let places = work.requests / f64::from(self.engine.places.max(1));
-            return places.max(work.memory_tokens / self.prefixes.capacity_tokens().max(1.0));
+            let slot_share = work.requests / f64::from(self.engine.places.max(1));
+            return slot_share.max(work.memory_tokens / self.prefixes.capacity_tokens().max(1.0));
         }
         let tokens = work.all_prompt_tokens();
         if tokens == 0.0 {
             return 0.0;
         }
-        (self.reading_seconds(line, tokens, now) / QUEUE_OF_ONE).max(1.0)
+        (self.reading_seconds(prefill_speed, tokens, now) / PREFILL_SECONDS_PER_BUSY_ENGINE).max(1.0)
     }
 
-    /// Whether a request that comes now would wait for no other.
+    /// Whether a new request would be served without waiting for another one.
     pub(super) fn is_idle(&self, now: MonotonicTime) -> bool {
         match self.engine.stage {
             EngineStage::Prefill => self.work(now).all_prompt_tokens() == 0.0,
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Whether nothing was ever sent here or heard from here.
-    pub(super) fn is_untouched(&self) -> bool {
+    /// Whether there is no state of this engine: nothing was sent to it and nothing received about it.
+    pub(super) fn has_no_state(&self) -> bool {
         self.sent.is_empty()
             && self.peers.is_empty()
             && self.prefixes.is_empty()
@@ -51,29 +51,29 @@
             && self.rate_limit().is_none()
     }
 
-    /// Whether there was no work here for so long.
+    /// Whether the engine has had no work for the hold time and its state may be dropped.
     pub(super) fn is_unused_for(&self, hold: Duration, now: MonotonicTime) -> bool {
-        let is_long_ago = |at: Option<MonotonicTime>| at.is_none_or(|at| now.since(at) >= hold);
+        let is_past_hold = |at: Option<MonotonicTime>| at.is_none_or(|at| now.since(at) >= hold);
         self.work(now).requests == 0.0
             && self.ordered_stage(now).is_none()
-            // What it named would be forgotten.
+            // The rate limit that the engine reported would be lost with its state.
             && self.rate_limit().is_none()
-            && is_long_ago(self.heard_at)
-            && is_long_ago(self.prefixes.latest_use())
+            && is_past_hold(self.heard_at)
+            && is_past_hold(self.prefixes.latest_use())
     }
 }
 
 impl PoolRouter {
-    pub(super) fn states_of_group(&self, number: usize) -> impl Iterator<Item = &EngineState> {
-        let handles = self.working_set.groups[number].in_use.iter();
+    pub(super) fn states_of_group(&self, index: usize) -> impl Iterator<Item = &EngineState> {
+        let handles = self.working_set.groups[index].in_use.iter();
         handles.filter_map(|handle| self.engines.get(self.engine_of.get(handle)?))
     }
 
-    pub(super) fn load_of_group(&self, number: usize, now: MonotonicTime) -> GroupLoad {
-        let line = self.speeds(&self.working_set.groups[number].pool).prefill;
+    pub(super) fn load_of_group(&self, index: usize, now: MonotonicTime) -> GroupLoad {
+        let prefill_speed = self.speeds(&self.working_set.groups[index].pool).prefill;
         let mut load = GroupLoad::default();
-        for state in self.states_of_group(number) {
-            load.busy += state.busy(&line, now);
+        for state in self.states_of_group(index) {
+            load.busy_engines += state.busy_engines(&prefill_speed, now);
             let takes_all = state.takes_work(now, false)
                 && state.rate_limit().is_none()
                 && state.backoff_left(now).is_zero();
--- a/crates/core/src/routing/pool/working_set/members.rs
+++ b/crates/core/src/routing/pool/working_set/members.rs
@@ -1,4 +1,4 @@
-//! Brings engines into use and takes them out of it.
+//! Brings engines into use and returns them to the reserve.
 
 use super::WorkingSetChange;
 use crate::forwarding::PoolId;
@@ -9,14 +9,15 @@
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// Time between two looks at the loads: shorter than callers wait for a first event, and cheap at some hundred engines.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// Interval at which the wanted numbers of engines are updated from the load. Shorter than the time that callers wait
+/// for a first event.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
 
 impl PoolRouter {
-    /// Takes the listing of one engine; an earlier start of it has ended.
+    /// Handles a new or changed list entry of an engine; earlier starts of the same name are marked as replaced.
     ///
-    /// What the engine said of itself outranks how it is listed: an entry may be written late, or read from a node that is
-    /// behind.
+    /// The engine's own drain signal takes precedence over its entry, which may be written late or come from a peer that
+    /// lags behind.
     pub fn on_engine_listed(&mut self, mut engine: PoolEngine) {
         let start = engine.id.start();
         for state in self.starts_of(engine.id.as_str()) {
@@ -25,85 +26,86 @@
         let settings = self.weights.working_set;
         let handle = SubjectHandle::of_engine(&engine.id);
         engine.leaving |= self.signals.is_draining(handle);
-        let before = self.working_set.leave(handle);
+        let previous_group = self.working_set.remove_engine(handle);
         let is_known = self.engines.contains_key(&engine.id);
-        let whole = self.working_set.is_whole(&engine.pool, &settings);
-        if is_known || whole {
+        let uses_all = self.working_set.uses_all_engines(&engine.pool, &settings);
+        if is_known || uses_all {
             self.begin_use(handle, engine);
         } else if !engine.leaving {
-            let number = self.working_set.enter(handle, &engine, &settings);
-            self.working_set.groups[number].reserve.insert(handle, engine);
+            let index = self.working_set.add_engine(handle, &engine, &settings);
+            self.working_set.groups[index].reserve.insert(handle, engine);
         }
-        for number in before
+        for index in previous_group
             .into_iter()
             .chain(self.working_set.group_of.get(&handle).copied())
         {
-            self.refill(number);
+            self.refill(index);
         }
     }
 
-    /// An engine that is listed no longer is replaced.
+    /// Removes an engine that is no longer listed from its group and brings another one into use.
     pub(in crate::routing::pool) fn end_use(&mut self, engine: &EngineId) {
         self.withdraw(SubjectHandle::of_engine(engine));
     }
 
-    /// Takes an engine out of its group and brings another one into use.
+    /// Removes an engine from its group and brings another one into use.
     pub(in crate::routing::pool) fn withdraw(&mut self, engine: SubjectHandle) {
-        if let Some(number) = self.working_set.leave(engine) {
-            self.refill(number);
+        if let Some(index) = self.working_set.remove_engine(engine) {
+            self.refill(index);
         }
     }
 
-    /// The engine with a short name, which is in use from now on: another node has chosen it.
+    /// Brings the engine with this handle into use because a peer has chosen it. Absent if no such engine is known.
     pub fn bring_into_use(&mut self, handle: SubjectHandle) -> Option<EngineId> {
-        if let Some(engine) = self.reserved(handle) {
+        if let Some(engine) = self.take_from_reserve(handle) {
             self.begin_use(handle, engine);
         }
         self.engine_named(handle)
     }
 
-    /// Looks at the loads, if it is time to, and brings engines into use or takes them out of it.
+    /// Updates the wanted numbers from the load, at most once in each interval, and brings engines into use or returns
+    /// them to the reserve.
     pub fn update_working_set(&mut self, now: MonotonicTime) {
-        let since = self.working_set.looked_at.map(|at| now.since(at));
-        if since.is_some_and(|since| since < LOOK_EVERY) {
+        let since = self.working_set.last_updated_at.map(|at| now.since(at));
+        if since.is_some_and(|since| since < UPDATE_INTERVAL) {
             return;
         }
-        self.working_set.looked_at = Some(now);
+        self.working_set.last_updated_at = Some(now);
         let settings = self.weights.working_set;
-        let kept = (-since.unwrap_or_default().as_secs_f64() / settings.hold_seconds).exp();
-        for number in 0..self.working_set.groups.len() {
+        let decay = (-since.unwrap_or_default().as_secs_f64() / settings.hold_seconds).exp();
+        for index in 0..self.working_set.groups.len() {
             if self
                 .working_set
-                .is_whole(&self.working_set.groups[number].pool, &settings)
+                .uses_all_engines(&self.working_set.groups[index].pool, &settings)
             {
-                self.refill(number);
+                self.refill(index);
                 continue;
             }
-            let load = self.load_of_group(number, now);
-            let group = &mut self.working_set.groups[number];
+            let load = self.load_of_group(index, now);
+            let group = &mut self.working_set.groups[index];
             group.unusable = load.unusable;
-            group.wanted = (load.busy / settings.full_share)
-                .max(group.wanted * kept)
+            group.wanted = (load.busy_engines / settings.full_share)
+                .max(group.wanted * decay)
                 .max(settings.least_in_group as f64);
-            self.refill(number);
-            self.retire(number, now);
+            self.refill(index);
+            self.retire(index, now);
         }
-        self.working_set.note_changes();
+        self.working_set.queue_changes_for_log();
     }
 
-    /// Whether the reserve of a pool has engines of a stage, so that none need be ordered to take it.
+    /// Whether the reserve of a pool has engines of a stage, so that no engine needs to be moved to that stage.
     pub fn has_reserve(&self, pool: &PoolId, stage: EngineStage) -> bool {
         let mut groups = self.working_set.groups.iter();
         groups.any(|group| group.stage == stage && group.pool == *pool && !group.reserve.is_empty())
     }
 
-    /// Engines that are listed and stay, and are not in use.
+    /// Engines that are listed, not leaving and not in use.
     pub fn reserve(&self) -> impl Iterator<Item = &PoolEngine> {
         let groups = self.working_set.groups.iter();
         groups.flat_map(|group| group.reserve.values())
     }
 
-    /// Engines that are in use and listed, as they are listed.
+    /// List entries of the engines in use that are still listed.
     pub fn in_use(&self) -> Vec<PoolEngine> {
         let listed = self.engines.values().filter(|state| state.is_listed());
         listed.map(|state| state.engine.clone()).collect()
@@ -111,74 +113,74 @@
 
     /// Changes of the numbers of engines in use since the last call, for the log.
     pub fn take_working_set_changes(&mut self) -> Vec<WorkingSetChange> {
-        std::mem::take(&mut self.working_set.untold)
+        std::mem::take(&mut self.working_set.unlogged_changes)
     }
 
-    /// Brings engines of the reserve into use until as many are as wanted.
-    pub(super) fn refill(&mut self, number: usize) {
+    /// Brings engines of the reserve into use until the target is reached.
+    pub(super) fn refill(&mut self, index: usize) {
         loop {
-            let whole = {
-                let pool = &self.working_set.groups[number].pool;
-                self.working_set.is_whole(pool, &self.weights.working_set)
+            let uses_all = {
+                let pool = &self.working_set.groups[index].pool;
+                self.working_set.uses_all_engines(pool, &self.weights.working_set)
             };
-            let Some(handle) = self.working_set.groups[number].next_due(whole) else {
+            let Some(handle) = self.working_set.groups[index].next_from_reserve(uses_all) else {
                 break;
             };
-            let Some(engine) = self.reserved(handle) else {
+            let Some(engine) = self.take_from_reserve(handle) else {
                 break;
             };
             self.begin_use(handle, engine);
-            if !whole {
-                self.retire_untouched(number);
+            if !uses_all {
+                self.retire_without_state(index);
             }
         }
     }
 
-    /// Takes an engine out of its reserve.
-    fn reserved(&mut self, handle: SubjectHandle) -> Option<PoolEngine> {
-        let number = *self.working_set.group_of.get(&handle)?;
-        self.working_set.groups[number].reserve.remove(&handle)
+    /// Removes an engine from the reserve of its group and returns it; absent if it is not in a reserve.
+    fn take_from_reserve(&mut self, handle: SubjectHandle) -> Option<PoolEngine> {
+        let index = *self.working_set.group_of.get(&handle)?;
+        self.working_set.groups[index].reserve.remove(&handle)
     }
 
     fn begin_use(&mut self, handle: SubjectHandle, engine: PoolEngine) {
         if !engine.leaving {
             let settings = self.weights.working_set;
-            let number = self.working_set.enter(handle, &engine, &settings);
-            self.working_set.groups[number].in_use.insert(handle);
+            let index = self.working_set.add_engine(handle, &engine, &settings);
+            self.working_set.groups[index].in_use.insert(handle);
         }
         self.put_engine(engine);
     }
 
-    /// Puts engines of which nothing is known back into the reserve where others come before them.
-    fn retire_untouched(&mut self, number: usize) {
-        while let Some(handle) = self.working_set.groups[number].excess() {
-            if !self.is_so(handle, EngineState::is_untouched) {
+    /// Returns engines without any state to the reserve, the last in order first, while there are more than the target.
+    fn retire_without_state(&mut self, index: usize) {
+        while let Some(handle) = self.working_set.groups[index].next_to_retire() {
+            if !self.engine_satisfies(handle, EngineState::has_no_state) {
                 return;
             }
-            self.put_back(number, handle);
+            self.return_to_reserve(index, handle);
         }
     }
 
-    /// Puts engines that were not used for the hold time back into the reserve, the last first.
-    fn retire(&mut self, number: usize, now: MonotonicTime) {
+    /// Returns engines that were unused for the hold time to the reserve, the last in order first.
+    fn retire(&mut self, index: usize, now: MonotonicTime) {
         let hold = Duration::from_secs_f64(self.weights.working_set.hold_seconds);
-        while let Some(handle) = self.working_set.groups[number].excess() {
-            if !self.is_so(handle, |state| state.is_unused_for(hold, now)) {
+        while let Some(handle) = self.working_set.groups[index].next_to_retire() {
+            if !self.engine_satisfies(handle, |state| state.is_unused_for(hold, now)) {
                 return;
             }
-            self.put_back(number, handle);
+            self.return_to_reserve(index, handle);
         }
     }
 
-    fn is_so(&self, handle: SubjectHandle, holds: impl Fn(&EngineState) -> bool) -> bool {
+    fn engine_satisfies(&self, handle: SubjectHandle, predicate: impl Fn(&EngineState) -> bool) -> bool {
         let engine = self.engine_of.get(&handle);
         engine
             .and_then(|engine| self.engines.get(engine))
-            .is_some_and(holds)
+            .is_some_and(predicate)
     }
 
-    fn put_back(&mut self, number: usize, handle: SubjectHandle) {
-        let group = &mut self.working_set.groups[number];
+    fn return_to_reserve(&mut self, index: usize, handle: SubjectHandle) {
+        let group = &mut self.working_set.groups[index];
         group.in_use.remove(&handle);
         let state = self.engine_of.remove(&handle);
         let state = state.and_then(|engine| self.engines.remove(&engine));
--- a/crates/core/src/routing/pool/working_set/mod.rs
+++ b/crates/core/src/routing/pool/working_set/mod.rs
@@ -1,25 +1,27 @@
-//! The engines of a large pool that are in use.
+//! The working set: the engines of a large pool that are in use.
 //!
-//! A fleet may list ten thousand engines while its load needs a few dozen. What a node keeps of an engine, and what a
-//! choice costs, must follow the load, so of a large pool only some engines are in use; the others are a reserve, of which
-//! nothing is known but how they are listed. Engines of one pool, zone and stage form a group:
+//! A fleet may list ten thousand engines while its load needs a few dozen. The state that a node keeps and the cost of a
+//! routing decision must depend on the load and not on the size of the fleet. So only some engines of a large pool are in
+//! use. The others form a reserve, of which a node knows only the list entries. Engines of one pool, zone and stage form a
+//! group:
 //!
 //! ```text
-//! load of a group  = prefill: over its engines in use, the greater of 1 where prompts are to be read,
-//!                             and seconds of reading ahead / QUEUE_OF_ONE
-//!                    others:  over its engines in use, the greater of requests / places and tokens / memory
-//! wanted in use    = max(least_in_group, load / full_share), which falls slowly after a peak
-//!                  + engines in use that take no work now: paused, cordoned, changing their stage
-//! in use           = the first by the numbers of their names' digests
+//! load of a group = prefill engines: sum over the engines in use, for each engine with queued prompt tokens
+//!                                    max(1, seconds of queued prefill / PREFILL_SECONDS_PER_BUSY_ENGINE)
+//!                   other engines:   sum over the engines in use of max(requests / slots, tokens / KV cache tokens)
+//! wanted          = max(least_in_group, load / full_share), which decays after a peak
+//! target          = wanted + engines in use that take no work now (paused, cordoned, changing their stage)
+//! in use          = the first `target` engines in the order of the digests of their names
 //! ```
 //!
-//! The digest is the same at every node, so nodes agree on the engines without a word, and where they differ one has a few
-//! more. One that leaves is replaced at once. Before a request is refused, or served late, while no engine of a stage
-//! that is in use stands idle, the reserve is drawn upon ([`PoolRouter::admit_or_grow`]).
+//! Every node computes the same digests, so nodes choose the same engines without communicating; where their loads differ,
+//! one node may have a few more engines in use. An engine that leaves is replaced at once. Before a request is rejected or
+//! would be late, engines of the reserve are brought into use for each stage without an idle engine in use
+//! ([`PoolRouter::admit_or_grow`]).
 //!
-//! An engine that is no longer wanted goes back into the reserve when it was not used for the hold time; what it was
-//! believed to hold is forgotten then. A pool of up to `whole_up_to` engines, and one whose engines are paid by the second,
-//! is in use as a whole.
+//! An engine that is no longer wanted returns to the reserve once it has been unused for the hold time, and its state is
+//! dropped. All engines are in use in a pool of up to `whole_up_to` engines and in a pool whose engines are billed by the
+//! second.
 
 mod groups;
 mod growth;
@@ -38,14 +40,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct WorkingSetSettings {
-    /// Engines of a pool up to which all are in use: what a node keeps of so many is small.
+    /// Largest number of listed engines at which all engines of a pool are in use.
     pub whole_up_to: usize,
-    /// Fewest engines in use of one pool, zone and stage: room for a burst until the load is seen, and for losses.
+    /// Minimum number of engines in use per pool, zone and stage; absorbs bursts and engine failures.
     pub least_in_group: usize,
-    /// Part of the engines in use that the load may keep busy; the rest keeps requests from queueing.
+    /// Target utilization: the share of the engines in use that the load may keep busy, above 0 and at most 1.
     pub full_share: f64,
-    /// Time in which the wanted number falls by two thirds after a peak, and for which an engine must not have been used
-    /// before it goes back into the reserve, in seconds.
+    /// Seconds in which the wanted number decays to 1/e after a peak. Also how long an engine must be unused before it
+    /// returns to the reserve.
     pub hold_seconds: f64,
 }
 
@@ -61,10 +63,10 @@
 }
 
 impl WorkingSetSettings {
-    /// Every wrong setting.
+    /// One error for each setting out of its bounds.
     pub fn validate(&self) -> Vec<FieldError> {
         let mut errors = Vec::new();
-        let mut fault = |field: &str, value: String, allowed: &str| {
+        let mut reject = |field: &str, value: String, allowed: &str| {
             errors.push(FieldError {
                 field: format!("routing.working_set.{field}"),
                 value,
@@ -72,13 +74,13 @@
             });
         };
         if self.least_in_group == 0 {
-            fault("least_in_group", "0".to_owned(), "1 or more");
+            reject("least_in_group", "0".to_owned(), "1 or more");
         }
         if !(self.full_share > 0.0 && self.full_share <= 1.0) {
-            fault("full_share", self.full_share.to_string(), "above 0, at most 1");
+            reject("full_share", self.full_share.to_string(), "above 0, at most 1");
         }
         if !(self.hold_seconds.is_finite() && self.hold_seconds >= 1.0) {
-            fault("hold_seconds", self.hold_seconds.to_string(), "1 or more");
+            reject("hold_seconds", self.hold_seconds.to_string(), "1 or more");
         }
         errors
     }
@@ -87,16 +89,16 @@
 /// A change of the number of engines in use of one group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkingSetChange {
-    /// The pool.
+    /// Pool of the group.
     pub pool: PoolId,
-    /// The zone.
+    /// Zone of the group.
     pub zone: ZoneId,
-    /// The stage.
+    /// Stage of the group.
     pub stage: EngineStage,
-    /// Engines in use now.
+    /// Engines in use after the change.
     pub in_use: usize,
-    /// Engines in the reserve now.
+    /// Engines in the reserve after the change.
     pub reserve: usize,
-    /// Engines that are wanted in use.
+    /// Target number of engines in use.
     pub wanted: usize,
 }
