--- a/crates/core/src/routing/pool/pace/lasting.rs
+++ b/crates/core/src/routing/pool/pace/lasting.rs
@@ -1,36 +1,34 @@
-//! The lasting speed of an engine beside its pool's.
+//! The lasting pace of an engine relative to its pool.
 
-/// Share of its weight that an observation keeps when the next one comes: some twenty count, so that chance averages
-/// out and a change gets through within seconds at a busy engine.
-const KEPT: f64 = 0.95;
+/// Factor by which the weight of earlier observations decays with each new one; about twenty observations count.
+const DECAY: f64 = 0.95;
 
-/// Weight of the assumption that an engine is as quick as its pool; it also keeps the engines of a pool from drifting
-/// away from its speeds together.
-const ASSUMED_WEIGHT: f64 = 2.0;
+/// Weight of the prior that an engine is as fast as its pool. It also keeps the paces of all engines from drifting away
+/// from the speed of the pool together.
+const PRIOR_WEIGHT: f64 = 2.0;
 
-/// Most by which one observation counts as longer or shorter than was believed.
-const LARGEST_STEP: f64 = 2.5;
+/// Maximum factor by which one observation may deviate from the current estimate; larger deviations are clamped.
+const MAX_DEVIATION: f64 = 2.5;
 
-/// Bounds of the factor.
-const BOUNDS: (f64, f64) = (0.2, 20.0);
+/// Minimum and maximum of the factor.
+const FACTOR_BOUNDS: (f64, f64) = (0.2, 20.0);
 
-/// Deviation, as a factor, from which an observation does not fit what is believed.
-const SURPRISE: f64 = 1.8;
+/// Minimum deviation from the current estimate, as a factor, at which an observation counts as an outlier.
+const OUTLIER_DEVIATION: f64 = 1.8;
 
-/// Observations in a row that don't fit, in the same direction, from which an engine counts as changed.
-const SURPRISES_TO_FORGET: i8 = 3;
+/// Number of consecutive outliers in the same direction after which the engine counts as changed.
+const MIN_OUTLIERS_TO_RESET: i8 = 3;
 
-/// Share of a received word's evidence that is kept when the next word comes; with seven other placers each is heard
-/// once in some words.
-const SHARED_KEPT: f64 = 0.8;
+/// Factor by which the weight of earlier peer reports decays with each new one.
+const PEER_DECAY: f64 = 0.8;
 
-/// Most weight of one received word.
-const MOST_WORD_WEIGHT: f64 = 20.0;
+/// Maximum weight of one peer report.
+const MAX_REPORT_WEIGHT: f64 = 20.0;
 
-/// Observations from which a node's own evidence is told to others.
-const WORTH_TELLING: f64 = 3.0;
+/// Minimum weight at which this node's own observations are sent to peers.
+const MIN_REPORT_WEIGHT: f64 = 3.0;
 
-/// Logarithms of observed factors with weights that fade.
+/// Weighted sum of the logarithms of observed factors, with decaying weights.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Evidence {
     weight: f64,
@@ -38,88 +36,86 @@
 }
 
 impl Evidence {
-    fn add(&mut self, kept: f64, log: f64, weight: f64) {
-        self.weight = self.weight * kept + weight;
-        self.sum = self.sum * kept + log * weight;
+    fn add(&mut self, decay: f64, log: f64, weight: f64) {
+        self.weight = self.weight * decay + weight;
+        self.sum = self.sum * decay + log * weight;
     }
 
-    fn scale(&mut self, part: f64) {
-        self.weight *= part;
-        self.sum *= part;
+    fn scale(&mut self, share: f64) {
+        self.weight *= share;
+        self.sum *= share;
     }
 }
 
-/// The lasting speed of an engine: the factor by which its work takes longer than usual in its pool, below one where it
-/// is quicker.
+/// The factor by which work lasts longer at an engine than is usual in its pool; below one if the engine is faster.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LastingPace {
     own: Evidence,
-    shared: Evidence,
-    /// Observations in a row that don't fit; below zero: quicker than believed.
-    surprises: i8,
+    peers: Evidence,
+    /// Consecutive outliers in one direction; negative if the engine was faster than estimated.
+    consecutive_outliers: i8,
 }
 
 impl LastingPace {
-    /// The factor; one where nothing was seen.
+    /// The estimated factor; one without observations.
     pub fn factor(&self) -> f64 {
-        let weight = self.own.weight + self.shared.weight + ASSUMED_WEIGHT;
-        let (least, most) = BOUNDS;
-        ((self.own.sum + self.shared.sum) / weight)
-            .exp()
-            .clamp(least, most)
+        let weight = self.own.weight + self.peers.weight + PRIOR_WEIGHT;
+        let (min, max) = FACTOR_BOUNDS;
+        ((self.own.sum + self.peers.sum) / weight).exp().clamp(min, max)
     }
 
-    /// Observations that the factor rests on, this node's and others'.
+    /// Total weight of the observations of this node and its peers.
     pub fn weight(&self) -> f64 {
-        self.own.weight + self.shared.weight
+        self.own.weight + self.peers.weight
     }
 
-    /// Takes how long something took beside what the pool and the momentary figure led to expect; `weight` is one for an
-    /// observation that tells as much as any.
+    /// Adds an observation: the ratio of the measured time to the time expected from the pool's speed and the momentary
+    /// pace. A `weight` of one is that of a long observation.
     pub fn observe(&mut self, ratio: f64, weight: f64) {
         if !(ratio.is_finite() && ratio > 0.0) {
             return;
         }
-        let believed = self.factor().ln();
-        let deviation = ratio.ln() - believed;
-        self.note_surprise(deviation);
-        let most = LARGEST_STEP.ln();
+        let estimated_log = self.factor().ln();
+        let deviation = ratio.ln() - estimated_log;
+        self.track_outliers(deviation);
+        let max = MAX_DEVIATION.ln();
         self.own
-            .add(KEPT, believed + deviation.clamp(-most, most), weight);
+            .add(DECAY, estimated_log + deviation.clamp(-max, max), weight);
     }
 
-    /// An engine that has changed is learned anew, rather than by and by.
-    fn note_surprise(&mut self, deviation: f64) {
-        if deviation.abs() < SURPRISE.ln() {
-            self.surprises = 0;
+    /// After enough consecutive outliers, drops most of the evidence so that the estimate adapts to a changed engine quickly.
+    fn track_outliers(&mut self, deviation: f64) {
+        if deviation.abs() < OUTLIER_DEVIATION.ln() {
+            self.consecutive_outliers = 0;
             return;
         }
         let direction = if deviation > 0.0 { 1 } else { -1 };
-        let continues = self.surprises.signum() == direction;
-        self.surprises = if continues {
-            self.surprises + direction
+        let continues = self.consecutive_outliers.signum() == direction;
+        self.consecutive_outliers = if continues {
+            self.consecutive_outliers + direction
         } else {
             direction
         };
-        if self.surprises.abs() >= SURPRISES_TO_FORGET {
-            self.surprises = 0;
-            let left = 1.0 / self.weight().max(1.0);
-            self.own.scale(left);
-            self.shared.scale(left);
+        if self.consecutive_outliers.abs() >= MIN_OUTLIERS_TO_RESET {
+            self.consecutive_outliers = 0;
+            let remaining = 1.0 / self.weight().max(1.0);
+            self.own.scale(remaining);
+            self.peers.scale(remaining);
         }
     }
 
-    /// This node's own evidence, as it is told to others: the factor and its weight; absent while there is little.
-    pub fn told(&self) -> Option<(f64, f64)> {
-        (self.own.weight >= WORTH_TELLING).then(|| ((self.own.sum / self.own.weight).exp(), self.own.weight))
+    /// This node's own estimate, as it is sent to peers: factor and weight. Absent while its weight is too small.
+    pub fn own_report(&self) -> Option<(f64, f64)> {
+        (self.own.weight >= MIN_REPORT_WEIGHT)
+            .then(|| ((self.own.sum / self.own.weight).exp(), self.own.weight))
     }
 
-    /// Takes another node's own evidence.
-    pub fn hear(&mut self, factor: f64, weight: f64) {
-        let (least, most) = BOUNDS;
+    /// Adds a peer's own estimate.
+    pub fn add_peer_report(&mut self, factor: f64, weight: f64) {
+        let (min, max) = FACTOR_BOUNDS;
         if factor.is_finite() && weight.is_finite() && weight > 0.0 {
-            let log = factor.clamp(least, most).ln();
-            self.shared.add(SHARED_KEPT, log, weight.min(MOST_WORD_WEIGHT));
+            let log = factor.clamp(min, max).ln();
+            self.peers.add(PEER_DECAY, log, weight.min(MAX_REPORT_WEIGHT));
         }
     }
 }
--- a/crates/core/src/routing/pool/pace/mod.rs
+++ b/crates/core/src/routing/pool/pace/mod.rs
@@ -1,15 +1,15 @@
-//! How much longer work takes at one engine than at a usual one of its pool: lastingly, and at this moment.
+//! Paces of engines: by which factor work lasts longer at an engine than usual in its pool.
 //!
-//! The lasting speed belongs to the engine ([`lasting`]). The momentary figure belongs to its machine, which others
-//! share ([`momentary`]): engines tell it in the heads of their answers, and it changes many times a second. What is
-//! observed of an engine is divided by the momentary figure of that time before it counts for the lasting speed, and by
-//! both before it counts for the pool ([`pool_pace`]), so that the three don't mix.
+//! The lasting pace belongs to the engine ([`lasting`]). The momentary pace belongs to its machine, which the engine shares
+//! with other workloads ([`momentary`]): engines report it in the headers of their responses, and it may change many times
+//! a second. An observed time is divided by the momentary pace before it counts towards the lasting pace, and by both
+//! before it counts towards the speed of the pool ([`pool_pace`]), so that each effect is counted once.
 //!
 //! ```text
-//! work factor = lasting * (usual + (told - usual) * 2.72 ^ (-age / persistence))
+//! work factor = lasting * (mean + (reported - mean) * e ^ (-age / persistence))
 //! ```
 //!
-//! `usual` is the mean of what the engine tells, and `persistence` is learned for the pool from how soon told figures
+//! `mean` is the mean of the engine's reports. `persistence` is estimated for the pool from how fast the reported paces
 //! change ([`persistence`]).
 
 pub(super) mod lasting;
@@ -33,70 +33,67 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// For which engines the lasting speed and the momentary figure are told apart.
+/// For which pools routing takes the paces of engines into account.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EnginePaceUse {
-    /// For none: one factor is learned from readings, as for pools whose engines are alike.
+    /// For no pool. The speed of an engine is estimated as a single factor from its prefill times.
     Off,
-    /// For pools of which an engine has told how long work takes on its machine at the moment.
+    /// For pools in which an engine has reported its momentary pace.
     #[default]
     #[serde(rename = "where_told")]
     WhereReported,
-    /// For every pool; engines that don't tell are judged by what is seen of them.
+    /// For every pool. The pace of an engine that reports none is estimated from observed times.
     Always,
 }
 
-/// Figures that engines tell between these bounds are believed, in hundredths of what is usual; others count as none,
-/// since a machine on which work takes a tenth or fifty times as long is a fault of the teller.
-const BELIEVED_PERCENT: (u32, u32) = (10, 5_000);
+/// Minimum and maximum of a plausible reported pace, in percent of the usual work time; others are ignored.
+const PLAUSIBLE_PERCENT: (u32, u32) = (10, 5_000);
 
-/// The momentary figure that an engine told, as a factor; absent where it told none or nonsense.
-pub(super) fn reported_pace(told: &ToldLoad) -> Option<f64> {
-    let (least, most) = BELIEVED_PERCENT;
-    let percent = told.work_time_percent?;
-    (least..=most)
-        .contains(&percent)
-        .then(|| f64::from(percent) / 100.0)
+/// The momentary pace in a load report of an engine, as a factor; absent if it is missing or implausible.
+pub(super) fn reported_pace(load: &ToldLoad) -> Option<f64> {
+    let (min, max) = PLAUSIBLE_PERCENT;
+    let percent = load.work_time_percent?;
+    (min..=max).contains(&percent).then(|| f64::from(percent) / 100.0)
 }
 
-/// What is believed of one engine's pace.
+/// Estimate of one engine's pace.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EnginePace {
-    /// Whether its pool's engines are told apart by it.
+    /// Whether routing takes the pace into account.
     pub(super) in_use: bool,
-    /// How its own speed lies beside its pool's.
+    /// Pace of the engine relative to its pool, independent of its machine's current load.
     pub lasting: LastingPace,
-    /// How its machine stands.
+    /// Pace of the machine at this moment.
     pub momentary: MomentaryPace,
-    /// How figures behave in its pool.
+    /// Statistics of the pool's reported paces.
     pub(super) traits: PaceTraits,
-    /// Factor of the lasting speed that was last reported as a change.
-    pub(super) reported: Option<f64>,
+    /// Lasting pace that was last logged as a change.
+    pub(super) last_logged: Option<f64>,
 }
 
 impl EnginePace {
-    /// Whether the figures decide.
+    /// Whether routing takes the pace into account.
     pub fn in_use(&self) -> bool {
         self.in_use
     }
 
-    /// Factor by which work takes longer now.
+    /// Factor by which work lasts longer now than usual in the pool.
     pub fn factor(&self, now: MonotonicTime) -> f64 {
         self.lasting.factor() * self.momentary.factor(&self.traits, now)
     }
 
-    /// Factor that the machine's state at this moment gives.
+    /// Factor by which the state of the machine slows work down now.
     pub fn momentary_factor(&self, now: MonotonicTime) -> f64 {
         self.momentary.factor(&self.traits, now)
     }
 
-    /// Factor by which work usually takes longer, whatever the machine does at the moment.
-    pub fn usual_factor(&self) -> f64 {
-        self.lasting.factor() * self.momentary.usual(&self.traits)
+    /// Factor by which work lasts longer on average, independent of the current state of the machine.
+    pub fn average_factor(&self) -> f64 {
+        self.lasting.factor() * self.momentary.mean(&self.traits)
     }
 
-    /// Age of the momentary figure; absent where it counts no longer.
+    /// Age of the latest momentary pace; absent if there is none or it is too old to count.
     pub fn momentary_age(&self, now: MonotonicTime) -> Option<Duration> {
         self.momentary.age(&self.traits, now)
     }
--- a/crates/core/src/routing/pool/pace/momentary.rs
+++ b/crates/core/src/routing/pool/pace/momentary.rs
@@ -1,119 +1,120 @@
-//! How an engine's machine stands at this moment.
+//! The momentary pace of an engine: the factor by which its machine currently slows work down.
 
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// Multiples of the persistence after which a figure counts no longer; by then less than a fiftieth of it is left.
-const COUNTS_FOR: f64 = 4.0;
+/// Maximum age of a reported pace, in multiples of the persistence; by then less than 2 % of its deviation is left.
+const MAX_AGE_PERSISTENCES: f64 = 4.0;
 
-/// Share of its weight that a figure keeps in the usual one when the next comes.
-const USUAL_KEPT: f64 = 0.97;
+/// Factor by which the weight of earlier paces in an engine's mean decays with each new one.
+const MEAN_DECAY: f64 = 0.97;
 
-/// Weight of the pool's usual figure in an engine's own.
-const POOL_WEIGHT: f64 = 8.0;
+/// Weight of the pool's mean pace as the prior of an engine's mean.
+const POOL_PRIOR_WEIGHT: f64 = 8.0;
 
-/// Share of one observation in the figure of an engine that tells none: single observations hold much chance.
-const SEEN_SHARE: f64 = 0.4;
+/// Smoothing factor of the pace of an engine that reports none; single observations are noisy.
+const OBSERVED_SMOOTHING: f64 = 0.4;
 
-/// Bounds of a figure that is seen and not told.
-const SEEN_BOUNDS: (f64, f64) = (0.5, 10.0);
+/// Minimum and maximum of an observed pace of an engine that reports none.
+const OBSERVED_BOUNDS: (f64, f64) = (0.5, 10.0);
 
-/// How figures behave in a pool.
+/// Statistics of the reported paces of a pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PaceTraits {
-    /// Time after which a deviation from the usual figure has faded to a third, in seconds.
+    /// Time after which the deviation from the mean has decayed to 1/e, in seconds.
     pub persistence_seconds: f64,
-    /// Mean of the figures.
-    pub usual: f64,
+    /// Mean of the reported paces.
+    pub mean: f64,
 }
 
-/// A mean whose observations fade.
+/// Mean of observations whose weights decay.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(super) struct FadingMean {
+pub(super) struct DecayingMean {
     weight: f64,
     sum: f64,
 }
 
-impl FadingMean {
-    pub(super) fn add(&mut self, kept: f64, value: f64) {
-        self.weight = self.weight * kept + 1.0;
-        self.sum = self.sum * kept + value;
+impl DecayingMean {
+    pub(super) fn add(&mut self, decay: f64, value: f64) {
+        self.weight = self.weight * decay + 1.0;
+        self.sum = self.sum * decay + value;
     }
 
-    /// The mean with an assumption that counts as so many observations.
-    pub(super) fn with(&self, assumed: f64, assumed_weight: f64) -> f64 {
-        (self.sum + assumed * assumed_weight) / (self.weight + assumed_weight)
+    /// The mean combined with a prior of the given weight, in observations.
+    pub(super) fn with_prior(&self, prior: f64, prior_weight: f64) -> f64 {
+        (self.sum + prior * prior_weight) / (self.weight + prior_weight)
     }
 }
 
-/// The latest figure of an engine, and what is usual for it.
+/// The latest pace of an engine and its mean.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MomentaryPace {
     latest: Option<(f64, MonotonicTime)>,
-    usual: FadingMean,
-    /// Whether the engine itself ever told one.
-    tells: bool,
+    mean: DecayingMean,
+    /// Whether the engine has ever reported a pace.
+    has_reported: bool,
 }
 
 impl MomentaryPace {
-    /// Whether the engine ever told a figure.
-    pub fn tells(&self) -> bool {
-        self.tells
+    /// Whether the engine has ever reported a pace to this node.
+    pub fn has_reported(&self) -> bool {
+        self.has_reported
     }
 
-    /// The figure that is usual for the engine.
-    pub fn usual(&self, traits: &PaceTraits) -> f64 {
-        self.usual.with(traits.usual, POOL_WEIGHT)
+    /// The mean of the paces that the engine reported, with the mean of the pool as prior.
+    pub fn mean(&self, traits: &PaceTraits) -> f64 {
+        self.mean.with_prior(traits.mean, POOL_PRIOR_WEIGHT)
     }
 
-    /// The figure that is believed now: the older the latest is, the nearer to the usual one.
+    /// The estimated pace now: the latest pace, decayed towards the engine's mean with its age.
     pub fn factor(&self, traits: &PaceTraits, now: MonotonicTime) -> f64 {
-        let usual = self.usual(traits);
-        let Some((figure, at)) = self.latest else {
-            return usual;
+        let mean = self.mean(traits);
+        let Some((pace, at)) = self.latest else {
+            return mean;
         };
         let age = now.since(at).as_secs_f64() / traits.persistence_seconds;
-        if age >= COUNTS_FOR {
-            return usual;
+        if age >= MAX_AGE_PERSISTENCES {
+            return mean;
         }
-        usual + (figure - usual) * (-age).exp()
+        mean + (pace - mean) * (-age).exp()
     }
 
-    /// Age of the latest figure; absent where it counts no longer.
+    /// Age of the latest pace; absent if there is none or it is too old to count.
     pub fn age(&self, traits: &PaceTraits, now: MonotonicTime) -> Option<Duration> {
         let (_, at) = self.latest?;
         let age = now.since(at);
-        (age.as_secs_f64() < COUNTS_FOR * traits.persistence_seconds).then_some(age)
+        (age.as_secs_f64() < MAX_AGE_PERSISTENCES * traits.persistence_seconds).then_some(age)
     }
 
-    /// The latest figure and its time.
+    /// The latest pace and the time of its report.
     pub fn latest(&self) -> Option<(f64, MonotonicTime)> {
         self.latest
     }
 
-    /// Takes a figure that the engine told this node.
-    pub fn told(&mut self, figure: f64, now: MonotonicTime) {
-        self.tells = true;
-        self.usual.add(USUAL_KEPT, figure);
-        self.hear(figure, now);
+    /// Records a pace that the engine reported to this node.
+    pub fn record_reported(&mut self, pace: f64, now: MonotonicTime) {
+        self.has_reported = true;
+        self.mean.add(MEAN_DECAY, pace);
+        self.record_latest(pace, now);
     }
 
-    /// Takes a figure that the engine told another node. Such figures are told because they surprise, so they don't
-    /// count for the usual one.
-    pub fn hear(&mut self, figure: f64, at: MonotonicTime) {
+    /// Records the latest pace without adding it to the mean. Used for reports from peers, which forward only paces that
+    /// differ from the estimate.
+    pub fn record_latest(&mut self, pace: f64, at: MonotonicTime) {
         if self.latest.is_none_or(|(_, known)| known <= at) {
-            self.latest = Some((figure, at));
+            self.latest = Some((pace, at));
         }
     }
 
-    /// Takes what an engine that tells no figure was seen to take beside what its lasting speed led to expect.
-    pub fn saw(&mut self, ratio: f64, traits: &PaceTraits, now: MonotonicTime) {
-        if self.tells || !ratio.is_finite() {
+    /// Records an observation of an engine that reports no pace: the ratio of the measured time to the time expected from
+    /// the engine's lasting pace.
+    pub fn record_observed(&mut self, ratio: f64, traits: &PaceTraits, now: MonotonicTime) {
+        if self.has_reported || !ratio.is_finite() {
             return;
         }
-        let (least, most) = SEEN_BOUNDS;
+        let (min, max) = OBSERVED_BOUNDS;
         let before = self.factor(traits, now);
-        let figure = before + SEEN_SHARE * (ratio.clamp(least, most) - before);
-        self.latest = Some((figure, now));
+        let pace = before + OBSERVED_SMOOTHING * (ratio.clamp(min, max) - before);
+        self.latest = Some((pace, now));
     }
 }
--- a/crates/core/src/routing/pool/pace/persistence.rs
+++ b/crates/core/src/routing/pool/pace/persistence.rs
@@ -1,90 +1,89 @@
-//! How long a told figure holds, learned from how soon the next one differs.
+//! How long a reported pace remains valid, estimated from how much consecutive reports of an engine differ.
 //!
-//! Of two figures of one engine, told a time `gap` apart, the second is expected to keep the part
-//! `2.72 ^ (-gap / persistence)` of the first one's deviation from the usual figure. The persistence is the one under
-//! which the deviations that were kept add up to those that were seen.
+//! Given two reports of one engine a time `gap` apart, the second is expected to keep the part `e ^ (-gap / persistence)`
+//! of the first one's deviation from the mean. The estimate is the persistence for which the expected products of the two
+//! deviations add up to the observed ones.
 
 use std::time::Duration;
 
-/// Persistences that are weighed against each other.
-const STEPS: usize = 16;
+/// Number of candidate persistences.
+const CANDIDATES: usize = 16;
 
-/// Shortest of them, in seconds: a round trip between nodes takes some milliseconds, and a word is gathered for a tenth
-/// of a second, so nothing shorter can be acted upon.
-const SHORTEST_SECONDS: f64 = 0.05;
+/// Smallest candidate, in seconds. A report reaches a peer after about a tenth of a second, so shorter ones would not
+/// matter.
+const MIN_SECONDS: f64 = 0.05;
 
-/// Factor from one to the next; the longest is near nine seconds, beyond which a figure is the engine's usual one.
-const STEP_FACTOR: f64 = 1.41;
+/// Ratio of consecutive candidates; the largest is about nine seconds.
+const CANDIDATE_RATIO: f64 = 1.41;
 
-/// Share of its weight that a pair keeps when the next one comes.
-const KEPT: f64 = 0.995;
+/// Factor by which the weight of earlier pairs decays with each new one.
+const DECAY: f64 = 0.995;
 
-/// Persistence that is assumed at the start, in seconds: engines tell that their figure changes many times a second
-/// over a fleet, and a told load counts for as long ([`super::super::engine`]).
-pub(super) const ASSUMED_SECONDS: f64 = 0.4;
+/// Persistence without any observation, in seconds.
+pub(super) const DEFAULT_PERSISTENCE_SECONDS: f64 = 0.4;
 
-/// Pairs that the assumption counts for.
-const ASSUMED_PAIRS: f64 = 5.0;
+/// Weight of the initial persistence, in pairs of reports.
+const PRIOR_PAIRS: f64 = 5.0;
 
-/// Deviation from the usual figure below which a pair tells nothing.
-const LEAST_DEVIATION: f64 = 0.2;
+/// Minimum deviation of the first report from the mean for a pair to count.
+const MIN_DEVIATION: f64 = 0.2;
 
-/// Most that a deviation counts for, so that one extreme figure doesn't outweigh all others.
-const MOST_DEVIATION: f64 = 3.0;
+/// Maximum deviation that counts, so that a single outlier does not dominate the estimate.
+const MAX_DEVIATION: f64 = 3.0;
 
-/// Time between two figures beyond which they tell nothing of each other.
-const LONGEST_GAP: Duration = Duration::from_secs(10);
+/// Maximum time between the two reports of a pair.
+const MAX_GAP: Duration = Duration::from_secs(10);
 
 fn candidate(step: usize) -> f64 {
-    SHORTEST_SECONDS * STEP_FACTOR.powi(step as i32)
+    MIN_SECONDS * CANDIDATE_RATIO.powi(step as i32)
 }
 
-/// How long a told figure holds.
+/// Estimate of how long a reported pace remains valid.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PacePersistence {
-    /// Products of the deviations of two figures.
-    seen: f64,
-    /// What they would add up to, by candidate.
-    expected: [f64; STEPS],
+    /// Decaying sum of the products of the two deviations of each pair.
+    observed: f64,
+    /// The sum expected for each candidate.
+    expected: [f64; CANDIDATES],
 }
 
 impl Default for PacePersistence {
     fn default() -> Self {
-        let mut expected = [0.0; STEPS];
+        let mut expected = [0.0; CANDIDATES];
         for (step, sum) in expected.iter_mut().enumerate() {
-            *sum = ASSUMED_PAIRS * (-ASSUMED_SECONDS / candidate(step)).exp();
+            *sum = PRIOR_PAIRS * (-DEFAULT_PERSISTENCE_SECONDS / candidate(step)).exp();
         }
         Self {
-            seen: ASSUMED_PAIRS * (-1.0_f64).exp(),
+            observed: PRIOR_PAIRS * (-1.0_f64).exp(),
             expected,
         }
     }
 }
 
 impl PacePersistence {
-    /// Takes two figures of an engine, as deviations from what is usual for it.
+    /// Adds a pair of reports of one engine, as deviations from its mean, and the time between them.
     pub fn observe(&mut self, first: f64, second: f64, gap: Duration) {
-        if first.abs() < LEAST_DEVIATION || gap > LONGEST_GAP {
+        if first.abs() < MIN_DEVIATION || gap > MAX_GAP {
             return;
         }
-        let first = first.clamp(-MOST_DEVIATION, MOST_DEVIATION);
-        let second = second.clamp(-MOST_DEVIATION, MOST_DEVIATION);
-        self.seen = self.seen * KEPT + first * second;
+        let first = first.clamp(-MAX_DEVIATION, MAX_DEVIATION);
+        let second = second.clamp(-MAX_DEVIATION, MAX_DEVIATION);
+        self.observed = self.observed * DECAY + first * second;
         for (step, sum) in self.expected.iter_mut().enumerate() {
-            *sum = *sum * KEPT + first * first * (-gap.as_secs_f64() / candidate(step)).exp();
+            *sum = *sum * DECAY + first * first * (-gap.as_secs_f64() / candidate(step)).exp();
         }
     }
 
-    /// Time after which a deviation has faded to a third, in seconds.
+    /// Time after which a deviation has decayed to 1/e, in seconds.
     pub fn seconds(&self) -> f64 {
-        let Some(above) = self.expected.iter().position(|sum| *sum >= self.seen) else {
-            return candidate(STEPS - 1);
+        let Some(above) = self.expected.iter().position(|sum| *sum >= self.observed) else {
+            return candidate(CANDIDATES - 1);
         };
         if above == 0 {
             return candidate(0);
         }
         let (low, high) = (self.expected[above - 1], self.expected[above]);
-        let part = (self.seen - low) / (high - low).max(f64::MIN_POSITIVE);
-        candidate(above - 1) * STEP_FACTOR.powf(part.clamp(0.0, 1.0))
+        let fraction = (self.observed - low) / (high - low).max(f64::MIN_POSITIVE);
+        candidate(above - 1) * CANDIDATE_RATIO.powf(fraction.clamp(0.0, 1.0))
     }
 }
--- a/crates/core/src/routing/pool/pace/pool_pace.rs
+++ b/crates/core/src/routing/pool/pace/pool_pace.rs
@@ -1,85 +1,84 @@
-//! What the paces of a pool's engines have in common.
+//! Pace statistics that the engines of a pool share.
 
-use super::momentary::{FadingMean, PaceTraits};
-use super::persistence::{ASSUMED_SECONDS, PacePersistence};
+use super::momentary::{DecayingMean, PaceTraits};
+use super::persistence::{DEFAULT_PERSISTENCE_SECONDS, PacePersistence};
 use std::time::Duration;
 
-/// Share of its weight that a figure keeps in the pool's usual one when the next comes.
-const USUAL_KEPT: f64 = 0.995;
+/// Factor by which the weight of earlier paces in the pool's mean decays with each new one.
+const MEAN_DECAY: f64 = 0.995;
 
-/// Weight of the assumption that machines stand as usual.
-const ASSUMED_WEIGHT: f64 = 10.0;
+/// Weight of the prior that the mean pace is one.
+const PRIOR_WEIGHT: f64 = 10.0;
 
-/// Most that one figure counts for in the pool's usual one, as a multiple of it: one extreme figure says little of the
-/// other machines.
-const MOST_IN_USUAL: f64 = 4.0;
+/// Maximum of one pace in the pool's mean, as a multiple of that mean; limits the effect of outliers.
+const MAX_MULTIPLE_OF_MEAN: f64 = 4.0;
 
-/// Change of the traits, as a factor, from which the pool's engines are judged by the new ones.
-const NOTABLE: f64 = 1.02;
+/// Minimum change of the statistics, as a factor, at which the new ones are applied to the engines of the pool.
+const MIN_APPLIED_CHANGE: f64 = 1.02;
 
-/// Share of an observation in the time of an output's token.
-const OUTPUT_SHARE: f64 = 0.05;
+/// Smoothing factor of the time per output token.
+const TOKEN_TIME_SMOOTHING: f64 = 0.05;
 
-/// Outputs from which the time of a token counts as learned.
-const LEARNED_OUTPUTS: u32 = 20;
+/// Minimum number of observed outputs before the time per token is used.
+const MIN_OUTPUTS: u32 = 20;
 
-/// Most by which one output counts as longer or shorter than expected.
-const LARGEST_FACTOR: f64 = 2.5;
+/// Maximum factor by which one observation may deviate from the current estimate; larger deviations are clamped.
+const MAX_DEVIATION: f64 = 2.5;
 
-/// Share of its weight that an observation keeps in the centre of its kind when the next comes.
-const CENTRE_KEPT: f64 = 0.98;
+/// Factor by which the weight of earlier observations in the baseline of their kind decays with each new one.
+const BASELINE_DECAY: f64 = 0.98;
 
-/// Weight of the assumption that what is observed lies about what is expected.
-const CENTRE_WEIGHT: f64 = 3.0;
+/// Weight of the prior that observed times match the expected ones.
+const BASELINE_PRIOR_WEIGHT: f64 = 3.0;
 
-/// What an engine was observed to do.
+/// The kind of work whose time was observed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::routing::pool) enum ObservedWork {
-    /// Reading at an engine that reads prompts.
+    /// Prefill at a prefill engine.
     Prefill,
-    /// Reading at an engine that runs outputs.
+    /// Prefill at an engine that also decodes.
     PrefillDuringDecode,
-    /// Running an output.
+    /// Decode of an output.
     Decode,
 }
 
-/// How long an engine took for something.
+/// How long an engine took for a piece of work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(in crate::routing::pool) struct PaceObservation {
-    /// What it did.
+    /// Kind of the work; each kind has its own baseline.
     pub(in crate::routing::pool) kind: ObservedWork,
-    /// Time that the pool's speeds lead to expect, in seconds.
+    /// Time expected from the pool's speeds, in seconds.
     pub(in crate::routing::pool) expected: f64,
-    /// Time that passed, in seconds.
+    /// Measured time, in seconds.
     pub(in crate::routing::pool) took: f64,
-    /// Momentary factor of that time.
+    /// Momentary pace of the engine during the work.
     pub(in crate::routing::pool) momentary: f64,
 }
 
-/// What the paces of a pool's engines have in common.
+/// Pace statistics of a pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PoolPace {
-    /// Whether an engine of the pool has told a figure.
-    pub(super) told: bool,
+    /// Whether an engine of the pool has reported a pace.
+    pub(super) has_reports: bool,
     persistence: PacePersistence,
-    usual: FadingMean,
+    mean: DecayingMean,
     traits: PaceTraits,
     token_seconds: f64,
     outputs: u32,
-    /// Means of the logarithms of observed times over expected ones and lasting factors, by [`ObservedWork`].
-    centres: [FadingMean; 3],
+    /// Baselines by [`ObservedWork`]: means of the logarithm of observed time / (expected time * lasting pace).
+    baselines: [DecayingMean; 3],
 }
 
 impl Default for PoolPace {
     fn default() -> Self {
         Self {
-            told: false,
+            has_reports: false,
             persistence: PacePersistence::default(),
-            usual: FadingMean::default(),
+            mean: DecayingMean::default(),
             traits: PaceTraits::default(),
             token_seconds: 0.0,
             outputs: 0,
-            centres: [FadingMean::default(); 3],
+            baselines: [DecayingMean::default(); 3],
         }
     }
 }
@@ -87,62 +86,63 @@
 impl Default for PaceTraits {
     fn default() -> Self {
         Self {
-            persistence_seconds: ASSUMED_SECONDS,
-            usual: 1.0,
+            persistence_seconds: DEFAULT_PERSISTENCE_SECONDS,
+            mean: 1.0,
         }
     }
 }
 
 impl PoolPace {
-    /// How figures behave in the pool.
+    /// Statistics of the pool's reported paces, as last applied to its engines.
     pub fn traits(&self) -> PaceTraits {
         self.traits
     }
 
-    /// Seconds that a token of an output takes at a usual engine; absent until enough outputs were seen.
+    /// Time per output token at an average engine, in seconds; absent until enough outputs were observed.
     pub fn token_seconds(&self) -> Option<f64> {
-        (self.outputs >= LEARNED_OUTPUTS).then_some(self.token_seconds)
+        (self.outputs >= MIN_OUTPUTS).then_some(self.token_seconds)
     }
 
-    /// Takes a figure that an engine told, with the one before it and the time between them, and the engine's usual one;
-    /// whether the traits have changed notably.
-    pub(super) fn observe(&mut self, figure: f64, before: Option<(f64, Duration)>, usual: f64) -> bool {
-        self.told = true;
-        let usual_now = self.usual.with(1.0, ASSUMED_WEIGHT);
-        self.usual.add(USUAL_KEPT, figure.min(usual_now * MOST_IN_USUAL));
+    /// Adds a pace that an engine reported to this node. `before` is the engine's previous pace with the time since then,
+    /// `mean` the engine's mean pace. Returns whether the statistics changed enough to be applied to the engines.
+    pub(super) fn observe(&mut self, pace: f64, before: Option<(f64, Duration)>, mean: f64) -> bool {
+        self.has_reports = true;
+        let current_mean = self.mean.with_prior(1.0, PRIOR_WEIGHT);
+        self.mean
+            .add(MEAN_DECAY, pace.min(current_mean * MAX_MULTIPLE_OF_MEAN));
         if let Some((first, gap)) = before {
-            self.persistence.observe(first - usual, figure - usual, gap);
+            self.persistence.observe(first - mean, pace - mean, gap);
         }
         let traits = PaceTraits {
             persistence_seconds: self.persistence.seconds(),
-            usual: self.usual.with(1.0, ASSUMED_WEIGHT),
+            mean: self.mean.with_prior(1.0, PRIOR_WEIGHT),
         };
-        let differs = |old: f64, new: f64| !(old / NOTABLE..=old * NOTABLE).contains(&new);
+        let differs =
+            |old: f64, new: f64| !(old / MIN_APPLIED_CHANGE..=old * MIN_APPLIED_CHANGE).contains(&new);
         let changed = differs(self.traits.persistence_seconds, traits.persistence_seconds)
-            || differs(self.traits.usual, traits.usual);
+            || differs(self.traits.mean, traits.mean);
         if changed {
             self.traits = traits;
         }
         changed
     }
 
-    /// How an observed time over the expected one lies beside what is usual for that kind of work now, the engines'
-    /// lasting speeds set aside.
+    /// Divides the ratio of an observed time to the expected one by the current baseline of that kind of work.
     ///
-    /// Without this the lasting speeds of all engines and the pool's speed drift apart together, since only their product
-    /// is seen: on a recorded day of 90 engines all but three came to count as quicker than usual, by a third at the median.
-    pub(super) fn centred(&mut self, kind: ObservedWork, ratio: f64, lasting: f64) -> f64 {
-        let centre = &mut self.centres[kind as usize];
-        let usual = centre.with(0.0, CENTRE_WEIGHT);
+    /// Only the product of the pool's speed and an engine's lasting pace is observable. Without the baseline the lasting
+    /// paces of all engines could drift in one direction while the speed of the pool drifts in the other.
+    pub(super) fn relative_to_baseline(&mut self, kind: ObservedWork, ratio: f64, lasting: f64) -> f64 {
+        let baseline = &mut self.baselines[kind as usize];
+        let mean = baseline.with_prior(0.0, BASELINE_PRIOR_WEIGHT);
         if ratio.is_finite() && ratio > 0.0 {
             let log = (ratio / lasting).ln();
-            let most = LARGEST_FACTOR.ln();
-            centre.add(CENTRE_KEPT, log.clamp(usual - most, usual + most));
+            let max = MAX_DEVIATION.ln();
+            baseline.add(BASELINE_DECAY, log.clamp(mean - max, mean + max));
         }
-        ratio / usual.exp()
+        ratio / mean.exp()
     }
 
-    /// Takes the seconds that a token of an output took, free of its engine's own factor.
+    /// Adds the time per token of an output, already divided by the pace of its engine.
     pub(super) fn observe_output(&mut self, token_seconds: f64) {
         self.outputs = self.outputs.saturating_add(1);
         if self.outputs == 1 {
@@ -150,9 +150,9 @@
             return;
         }
         let bounded = token_seconds.clamp(
-            self.token_seconds / LARGEST_FACTOR,
-            self.token_seconds * LARGEST_FACTOR,
+            self.token_seconds / MAX_DEVIATION,
+            self.token_seconds * MAX_DEVIATION,
         );
-        self.token_seconds += OUTPUT_SHARE * (bounded - self.token_seconds);
+        self.token_seconds += TOKEN_TIME_SMOOTHING * (bounded - self.token_seconds);
     }
 }
--- a/crates/core/src/routing/pool/pace/report.rs
+++ b/crates/core/src/routing/pool/pace/report.rs
@@ -1,20 +1,20 @@
-//! What nodes tell each other of engines' paces.
+//! Reports of engines' paces between nodes.
 
 use crate::membership::subject::SubjectHandle;
 use serde::{Deserialize, Serialize};
 
-/// A momentary figure that an engine told the sender.
+/// A momentary pace that an engine reported to the sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportedPace {
     /// The engine.
     pub engine: SubjectHandle,
-    /// The figure, in hundredths of what is usual.
+    /// Time that work takes on the machine, in percent of the usual time.
     pub percent: u16,
     /// Its age when it was sent, in milliseconds.
     pub age_millis: u16,
 }
 
-/// What the sender itself has seen of an engine's lasting speed.
+/// The sender's own estimate of an engine's lasting pace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LastingPaceReport {
     /// The engine.
@@ -25,12 +25,12 @@
     pub weight: u8,
 }
 
-/// What a node tells others of engines' paces; a lost one is made good by a later one.
+/// Paces that a node sends to its peers. Lost reports are not sent again; later ones replace them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PaceReports {
-    /// Figures that differ from what their receivers would believe.
+    /// Momentary paces that differ from the estimates of the receivers.
     pub figures: Vec<ReportedPace>,
-    /// Lasting speeds, of some engines at a time.
+    /// Lasting paces, of some engines at a time.
     pub lasting: Vec<LastingPaceReport>,
 }
 
@@ -40,7 +40,7 @@
         self.figures.is_empty() && self.lasting.is_empty()
     }
 
-    /// Whether there is nothing in it that has to be told soon.
+    /// Whether the reports can wait for the next periodic message: no momentary pace is among them.
     pub fn is_deferrable(&self) -> bool {
         self.figures.is_empty()
     }
--- a/crates/core/src/routing/pool/pace/router.rs
+++ b/crates/core/src/routing/pool/pace/router.rs
@@ -1,4 +1,4 @@
-//! The paces of engines in the router: what teaches them, and what passes between nodes.
+//! Paces of engines in the router: updates from reports and observed times, and reports for peers.
 
 use super::pool_pace::{ObservedWork, PaceObservation};
 use super::report::{LastingPaceReport, PaceReports, ReportedPace};
@@ -11,77 +11,77 @@
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// Added to what was expected and to what was seen before they are compared, in seconds, so that a short reading that
-/// was a little longer doesn't count as a slow engine.
+/// Added to expected and measured times before they are compared, in seconds, so that a small delay of a short prefill
+/// does not count as a slow engine.
 const FLOOR_SECONDS: f64 = 0.020;
 
-/// Expected time of a reading or an output at which it tells half as much as a long one, in seconds.
+/// Expected time at which an observation has half the weight of a long one, in seconds.
 const HALF_WEIGHT_SECONDS: f64 = 0.050;
 
-/// Shortest output that tells anything, in tokens: its first event comes with the reading.
-const LEAST_OUTPUT_TOKENS: u32 = 8;
+/// Minimum length of an output whose time is evaluated, in tokens. The first event is excluded, as it ends the prefill.
+const MIN_OUTPUT_TOKENS: u32 = 8;
 
-/// Shortest time of an output that tells anything.
-const LEAST_OUTPUT: Duration = Duration::from_millis(20);
+/// Minimum duration of an output whose time is evaluated.
+const MIN_OUTPUT_DURATION: Duration = Duration::from_millis(20);
 
-/// Difference of a told figure from the believed one, as a factor, from which others are told of it.
-const WORTH_TELLING: f64 = 1.3;
+/// Minimum deviation of a reported pace from its estimate, as a factor, at which it is sent to peers.
+const MIN_SENT_DEVIATION: f64 = 1.3;
 
-/// Most figures that wait to be told.
-const MOST_WAITING: usize = 64;
+/// Maximum number of engines whose momentary pace waits to be sent.
+const MAX_UNSENT: usize = 64;
 
-/// Change of a lasting speed, as a factor, from which it is reported.
-const REPORTED_STEP: f64 = 1.25;
+/// Minimum change of a lasting pace, as a factor, at which it is logged.
+const MIN_LOGGED_CHANGE: f64 = 1.25;
 
-/// Observations from which a lasting speed is reported.
-const REPORTED_WEIGHT: f64 = 8.0;
+/// Minimum weight of the observations at which a lasting pace is logged.
+const MIN_LOGGED_WEIGHT: f64 = 8.0;
 
-/// Most changes that wait to be reported.
-const MOST_CHANGES: usize = 32;
+/// Maximum number of changes that wait to be logged.
+const MAX_UNLOGGED_CHANGES: usize = 32;
 
-/// A change of what is believed of an engine's lasting speed.
+/// A change of the estimate of an engine's lasting pace, for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PaceChange {
-    /// The engine.
+    /// Engine whose estimate changed.
     pub engine: EngineId,
-    /// Factor that was reported before; one at the start.
+    /// Factor that was logged last; one at the start.
     pub before: f64,
-    /// Factor now.
+    /// Factor after the change.
     pub after: f64,
-    /// Observations that it rests on.
+    /// Weight of the observations behind the estimate.
     pub weight: f64,
 }
 
-/// How far the paces of engines lie apart.
+/// Range of the paces of the engines in all pools for which paces are used.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PaceSpread {
-    /// Least lasting factor.
+    /// Smallest lasting factor.
     pub min_lasting: f64,
-    /// Greatest lasting factor.
+    /// Largest lasting factor.
     pub max_lasting: f64,
-    /// Greatest momentary factor.
+    /// Largest momentary factor.
     pub max_momentary: f64,
-    /// Engines whose momentary figure is known.
+    /// Engines whose latest momentary pace is recent enough to count.
     pub engines_with_current_pace: usize,
-    /// Time for which a figure holds, in seconds; the shortest of the pools.
+    /// Time for which a momentary pace remains valid, in seconds; the smallest of all pools.
     pub persistence_seconds: f64,
 }
 
 impl PoolRouter {
-    /// Takes the momentary figure that an engine told in an answer.
+    /// Handles the momentary pace that an engine reported in a response.
     pub(in crate::routing::pool) fn on_reported_pace(
         &mut self,
         engine: &EngineId,
-        told: &ToldLoad,
+        load: &ToldLoad,
         now: MonotonicTime,
     ) {
-        let (Some(figure), true) = (
-            reported_pace(told),
+        let (Some(reported), true) = (
+            reported_pace(load),
             self.weights.engine_pace != EnginePaceUse::Off,
         ) else {
             return;
         };
-        // A late word of an engine that is gone says nothing of those that stay, its own later start among them.
+        // A late report of an engine that is leaving does not apply to the remaining ones, such as a later start of it.
         let Some(state) = self.engines.get_mut(engine).filter(|state| state.stays()) else {
             return;
         };
@@ -90,43 +90,44 @@
         let before = pace
             .momentary
             .latest()
-            .map(|(figure, at)| (figure, now.since(at)));
-        let believed = pace.momentary_factor(now);
-        let changed = pool_pace.observe(figure, before, pace.momentary.usual(&pace.traits));
-        pace.momentary.told(figure, now);
-        let differs = figure.max(believed) / figure.min(believed) >= WORTH_TELLING;
+            .map(|(reported, reported_at)| (reported, now.since(reported_at)));
+        let estimated = pace.momentary_factor(now);
+        let changed = pool_pace.observe(reported, before, pace.momentary.mean(&pace.traits));
+        pace.momentary.record_reported(reported, now);
+        let is_large_change = reported.max(estimated) / reported.min(estimated) >= MIN_SENT_DEVIATION;
         let handle = state.handle;
-        if differs && self.unsent_paces.len() < MOST_WAITING && !self.unsent_paces.contains(&handle) {
+        if is_large_change && self.unsent_paces.len() < MAX_UNSENT && !self.unsent_paces.contains(&handle) {
             self.unsent_paces.push(handle);
         }
         if changed || !state.pace.in_use {
             let pool = state.engine.pool.clone();
-            self.spread_traits(&pool);
+            self.apply_pool_traits(&pool);
         }
     }
 
-    fn spread_traits(&mut self, pool: &PoolId) {
+    /// Applies the statistics of a pool to all its engines.
+    fn apply_pool_traits(&mut self, pool: &PoolId) {
         for state in self.engines.values_mut() {
             if state.engine.pool == *pool {
-                take_traits(state, self.paces.get(pool), self.weights.engine_pace);
+                apply_traits(state, self.paces.get(pool), self.weights.engine_pace);
             }
         }
     }
 
-    /// Judges a newly listed engine by what is known of its pool.
+    /// Applies the statistics of its pool to a newly listed engine.
     pub(in crate::routing::pool) fn init_pace(&self, state: &mut EngineState) {
-        take_traits(
+        apply_traits(
             state,
             self.paces.get(&state.engine.pool),
             self.weights.engine_pace,
         );
     }
 
-    /// Takes how long an engine took beside what its pool's speeds lead to expect, in seconds.
+    /// Updates the pace of an engine from the time that a piece of work took.
     pub(in crate::routing::pool) fn observe_pace(
         &mut self,
         engine: &EngineId,
-        seen: PaceObservation,
+        observation: PaceObservation,
         now: MonotonicTime,
     ) {
         let Some(state) = self.engines.get_mut(engine) else {
@@ -137,28 +138,32 @@
             took,
             momentary,
             ..
-        } = seen;
+        } = observation;
         let weight = expected / (expected + HALF_WEIGHT_SECONDS);
-        let usual = (took + FLOOR_SECONDS) / (expected * momentary + FLOOR_SECONDS);
+        let lasting_ratio = (took + FLOOR_SECONDS) / (expected * momentary + FLOOR_SECONDS);
         let lasting = state.pace.lasting.factor();
-        let at_once = (took + FLOOR_SECONDS) / (expected * lasting + FLOOR_SECONDS);
+        let momentary_ratio = (took + FLOOR_SECONDS) / (expected * lasting + FLOOR_SECONDS);
         let pool_pace = self.paces.entry(state.engine.pool.clone()).or_default();
-        let ratio = pool_pace.centred(seen.kind, usual, lasting);
+        let ratio = pool_pace.relative_to_baseline(observation.kind, lasting_ratio, lasting);
         state.pace.lasting.observe(ratio, weight);
-        state.pace.momentary.saw(at_once, &state.pace.traits, now);
-        self.report_change(engine);
+        state
+            .pace
+            .momentary
+            .record_observed(momentary_ratio, &state.pace.traits, now);
+        self.queue_change_for_log(engine);
     }
 
-    fn report_change(&mut self, engine: &EngineId) {
+    /// Queues a change of the lasting pace for the log if it is large enough.
+    fn queue_change_for_log(&mut self, engine: &EngineId) {
         let Some(state) = self.engines.get_mut(engine) else {
             return;
         };
         let after = state.pace.lasting.factor();
-        let before = state.pace.reported.unwrap_or(1.0);
+        let before = state.pace.last_logged.unwrap_or(1.0);
         let weight = state.pace.lasting.weight();
-        let differs = after.max(before) / after.min(before) >= REPORTED_STEP;
-        if differs && weight >= REPORTED_WEIGHT && self.pace_changes.len() < MOST_CHANGES {
-            state.pace.reported = Some(after);
+        let is_large_change = after.max(before) / after.min(before) >= MIN_LOGGED_CHANGE;
+        if is_large_change && weight >= MIN_LOGGED_WEIGHT && self.pace_changes.len() < MAX_UNLOGGED_CHANGES {
+            state.pace.last_logged = Some(after);
             self.pace_changes.push(PaceChange {
                 engine: engine.clone(),
                 before,
@@ -168,7 +173,7 @@
         }
     }
 
-    /// Learns from an output that has ended, whose first event came at `begun_at`.
+    /// Updates paces from a finished output, measured from its first event.
     pub(in crate::routing::pool) fn observe_output(
         &mut self,
         engine: &EngineId,
@@ -182,7 +187,7 @@
             return;
         };
         let took = now.since(begun_at);
-        if !state.pace.in_use || work.output_tokens < LEAST_OUTPUT_TOKENS || took < LEAST_OUTPUT {
+        if !state.pace.in_use || work.output_tokens < MIN_OUTPUT_TOKENS || took < MIN_OUTPUT_DURATION {
             return;
         }
         let momentary = (work.momentary + state.pace.momentary_factor(now)) / 2.0;
@@ -192,17 +197,17 @@
         pool_pace.observe_output(took.as_secs_f64() / tokens / factor);
         if let Some(token_seconds) = pool_pace.token_seconds() {
             let expected = token_seconds * tokens;
-            let seen = PaceObservation {
+            let observation = PaceObservation {
                 kind: ObservedWork::Decode,
                 expected,
                 took: took.as_secs_f64(),
                 momentary,
             };
-            self.observe_pace(engine, seen, now);
+            self.observe_pace(engine, observation, now);
         }
     }
 
-    /// Seconds that an output takes at a usual engine; zero where that isn't known or the paces don't decide.
+    /// Expected decode time of the output at an average engine, in seconds; zero if it is unknown or paces are not used.
     pub(in crate::routing::pool) fn output_seconds(&self, query: &PoolQuery<'_>) -> f64 {
         if self.weights.engine_pace == EnginePaceUse::Off {
             return 0.0;
@@ -212,95 +217,99 @@
         token_seconds.unwrap_or_default() * f64::from(tokens)
     }
 
-    /// What an engine of a pool gets done on average, over what one does that is as quick as the pool and on a machine
-    /// that stands as usual; one where paces don't decide.
+    /// Mean speed of the engines of a pool relative to an engine of average lasting and momentary pace; one if paces are
+    /// not used.
     pub(in crate::routing::pool) fn mean_relative_speed(&self, pool: &PoolId) -> f64 {
         let engines = self.engines.values().filter(|state| state.engine.pool == *pool);
-        let paces: Vec<f64> = engines
+        let speeds: Vec<f64> = engines
             .filter(|state| state.pace.in_use && state.stays())
-            .map(|state| 1.0 / state.pace.usual_factor())
+            .map(|state| 1.0 / state.pace.average_factor())
             .collect();
-        if paces.is_empty() {
+        if speeds.is_empty() {
             return 1.0;
         }
-        paces.iter().sum::<f64>() / paces.len() as f64
+        speeds.iter().sum::<f64>() / speeds.len() as f64
     }
 
-    /// What other nodes are to be told: figures that surprised, and the lasting speeds of some engines in turn.
+    /// Reports for peers: momentary paces that deviated from the estimate, and the lasting paces of some engines in turn.
     pub fn take_pace_reports(
         &mut self,
-        most_figures: usize,
-        most_lasting: usize,
+        max_momentary_reports: usize,
+        max_lasting_reports: usize,
         now: MonotonicTime,
     ) -> PaceReports {
         let rest = self
             .unsent_paces
-            .split_off(most_figures.min(self.unsent_paces.len()));
-        let told = std::mem::replace(&mut self.unsent_paces, rest);
-        let figures = told.into_iter().filter_map(|handle| {
-            let (figure, at) = self.state_of(handle)?.pace.momentary.latest()?;
+            .split_off(max_momentary_reports.min(self.unsent_paces.len()));
+        let handles = std::mem::replace(&mut self.unsent_paces, rest);
+        let figures = handles.into_iter().filter_map(|handle| {
+            let (reported, reported_at) = self.state_of(handle)?.pace.momentary.latest()?;
             Some(ReportedPace {
                 engine: handle,
-                percent: (figure * 100.0) as u16,
-                age_millis: u16::try_from(now.since(at).as_millis()).unwrap_or(u16::MAX),
+                percent: (reported * 100.0) as u16,
+                age_millis: u16::try_from(now.since(reported_at).as_millis()).unwrap_or(u16::MAX),
             })
         });
         PaceReports {
             figures: figures.collect(),
-            lasting: self.next_lasting(most_lasting),
+            lasting: self.next_lasting_reports(max_lasting_reports),
         }
     }
 
-    fn next_lasting(&mut self, most: usize) -> Vec<LastingPaceReport> {
+    /// Lasting paces of the next engines, ordered by their ids.
+    fn next_lasting_reports(&mut self, max_reports: usize) -> Vec<LastingPaceReport> {
         let last = self.lasting_cursor.clone();
-        let is_next = |engine: &EngineId| last.as_ref().is_none_or(|last| engine > last);
-        let following = self.engines.iter().filter(|(engine, _)| is_next(engine));
-        let told = following.filter_map(|(engine, state)| {
-            let (factor, weight) = state.pace.lasting.told()?;
-            let word = LastingPaceReport {
+        let is_after_cursor = |engine: &EngineId| last.as_ref().is_none_or(|last| engine > last);
+        let following = self.engines.iter().filter(|(engine, _)| is_after_cursor(engine));
+        let batch = following.filter_map(|(engine, state)| {
+            let (factor, weight) = state.pace.lasting.own_report()?;
+            let report = LastingPaceReport {
                 engine: state.handle,
                 thousandths: (factor * 1_000.0).round() as u16,
                 weight: weight.min(f64::from(u8::MAX)) as u8,
             };
-            Some((engine.clone(), word))
+            Some((engine.clone(), report))
         });
-        let told: Vec<_> = told.take(most).collect();
-        // At the end of the list it begins anew at the next call.
-        self.lasting_cursor = (told.len() == most)
-            .then(|| told.last().map(|(engine, _)| engine.clone()))
+        let batch: Vec<_> = batch.take(max_reports).collect();
+        // A short batch ends the list, so the next call starts from the beginning.
+        self.lasting_cursor = (batch.len() == max_reports)
+            .then(|| batch.last().map(|(engine, _)| engine.clone()))
             .flatten();
-        told.into_iter().map(|(_, word)| word).collect()
+        batch.into_iter().map(|(_, report)| report).collect()
     }
 
-    /// Takes another node's words of engines' paces.
-    pub fn on_pace_reports(&mut self, words: &PaceReports, now: MonotonicTime) {
+    /// Handles a peer's reports of the paces of engines.
+    pub fn on_pace_reports(&mut self, reports: &PaceReports, now: MonotonicTime) {
         if self.weights.engine_pace == EnginePaceUse::Off {
             return;
         }
-        for word in &words.figures {
-            let told = ToldLoad {
-                work_time_percent: Some(u32::from(word.percent)),
+        for report in &reports.figures {
+            let load = ToldLoad {
+                work_time_percent: Some(u32::from(report.percent)),
                 ..ToldLoad::default()
             };
-            let at = now - Duration::from_millis(u64::from(word.age_millis));
-            if let (Some(figure), Some(state)) = (reported_pace(&told), self.state_of(word.engine)) {
-                state.pace.momentary.hear(figure, at);
+            let reported_at = now - Duration::from_millis(u64::from(report.age_millis));
+            if let (Some(reported), Some(state)) = (reported_pace(&load), self.state_of(report.engine)) {
+                state.pace.momentary.record_latest(reported, reported_at);
             }
         }
-        for word in &words.lasting {
-            if let Some(state) = self.state_of(word.engine) {
-                let factor = f64::from(word.thousandths) / 1_000.0;
-                state.pace.lasting.hear(factor, f64::from(word.weight));
+        for report in &reports.lasting {
+            if let Some(state) = self.state_of(report.engine) {
+                let factor = f64::from(report.thousandths) / 1_000.0;
+                state
+                    .pace
+                    .lasting
+                    .add_peer_report(factor, f64::from(report.weight));
             }
         }
     }
 
-    /// Changes of lasting speeds since the last call, for the log.
+    /// Changes of lasting paces since the last call, for the log.
     pub fn take_pace_changes(&mut self) -> Vec<PaceChange> {
         std::mem::take(&mut self.pace_changes)
     }
 
-    /// How far the paces of engines lie apart; absent where they don't decide.
+    /// Range of the paces of engines; absent if paces are used for no engine.
     pub fn pace_spread(&self, now: MonotonicTime) -> Option<PaceSpread> {
         let in_use = || self.engines.values().filter(|state| state.pace.in_use);
         let lasting = || in_use().map(|state| state.pace.lasting.factor());
@@ -319,10 +328,10 @@
     }
 }
 
-fn take_traits(state: &mut EngineState, pool: Option<&super::PoolPace>, pace_use: EnginePaceUse) {
+fn apply_traits(state: &mut EngineState, pool: Option<&super::PoolPace>, pace_use: EnginePaceUse) {
     state.pace.in_use = match pace_use {
         EnginePaceUse::Off => false,
-        EnginePaceUse::WhereReported => pool.is_some_and(|pool| pool.told),
+        EnginePaceUse::WhereReported => pool.is_some_and(|pool| pool.has_reports),
         EnginePaceUse::Always => true,
     };
     state.pace.traits = pool.map(super::PoolPace::traits).unwrap_or_default();
