--- a/crates/core/src/routing/pool/admission.rs
+++ b/crates/core/src/routing/pool/admission.rs
@@ -20,9 +20,9 @@
 
 use super::choice::PoolRoute;
 use super::engine::PoolEngine;
+use super::prefill_speed::PrefillSpeed;
 use super::query::{PoolQuery, PromptShape};
 use super::router::PoolRouter;
-use super::speed::ReadingSpeed;
 use crate::membership::subject::mix;
 use crate::setting::FieldError;
 use crate::sharing::{Charge, SharingSettings, Standing, TenantRequest};
@@ -99,13 +99,13 @@
 
 /// What of a request decides beside the engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Timing {
+pub struct RequestTiming {
     /// Time within which the first event is worth most.
     pub target: Duration,
     /// Time that the caller still waits.
-    pub left: Duration,
+    pub remaining: Duration,
     /// Whether the caller has come back after a refusal.
-    pub returned: bool,
+    pub is_retry: bool,
 }
 
 /// What is done with a request.
@@ -134,11 +134,11 @@
     /// Factor by which expectations are exceeded.
     pub error: f64,
     /// Share of the requests that were turned away of late: served behind others or refused.
-    pub turned_away: f64,
+    pub late_or_refused_share: f64,
     /// Whether it can't be in time by what was expected, whoever asks.
-    pub cannot_be_in_time: bool,
+    pub misses_target: bool,
     /// The queue that it met, as part of the longest with which it could be in time; absent where none would do.
-    pub queue_part: Option<f64>,
+    pub queue_share: Option<f64>,
     /// Tokens that it takes to read and to write.
     pub tokens: f64,
     /// How its tenant and its kind stand.
@@ -162,8 +162,8 @@
 /// Whether a prompt that could not be in time without a queue either is one of those that go ahead all the same, so that
 /// such prompts are not starved: drawn with the same part of them at every placer.
 fn goes_ahead(decision: &AdmissionDecision, query: &PoolQuery<'_>, settings: &SharingSettings) -> bool {
-    let is_large = decision.queue_part.is_none() && decision.standing.contended;
-    let due = settings.large_prompts * (1.0 - decision.turned_away);
+    let is_large = decision.queue_share.is_none() && decision.standing.contended;
+    let due = settings.large_prompts * (1.0 - decision.late_or_refused_share);
     is_large && fraction(mix(query.draw)) < due
 }
 
@@ -177,21 +177,21 @@
     pub fn admit(
         &self,
         query: &PoolQuery<'_>,
-        timing: Timing,
+        timing: RequestTiming,
         settings: &PoolAdmission,
         now: MonotonicTime,
     ) -> AdmissionDecision {
         let (route, expected) = self.choose_expecting(query, now);
         let speeds = self.speeds(query.pool);
-        let care = speeds.turned_away.share() / settings.full_care_share;
+        let care = speeds.rejection_rate.share() / settings.full_care_share;
         let mut decision = AdmissionDecision {
             admission: Admission::InTime,
             route,
             expected: Duration::ZERO,
             error: speeds.error.factor(care),
-            turned_away: speeds.turned_away.share(),
-            cannot_be_in_time: false,
-            queue_part: None,
+            late_or_refused_share: speeds.rejection_rate.share(),
+            misses_target: false,
+            queue_share: None,
             tokens: 0.0,
             standing: Standing::default(),
         };
@@ -204,8 +204,8 @@
         let allowance = Duration::from_millis(settings.allowance_millis);
         let allowed = timing.target.saturating_sub(allowance).as_secs_f64();
         let bearable = allowed - (expected.seconds - expected.queue) * decision.error;
-        decision.queue_part = (bearable > 0.0).then(|| expected.queue * decision.error / bearable);
-        decision.cannot_be_in_time = expected.seconds * decision.error > allowed;
+        decision.queue_share = (bearable > 0.0).then(|| expected.queue * decision.error / bearable);
+        decision.misses_target = expected.seconds * decision.error > allowed;
         decision.standing = self.standing(query, settings, now);
         let longer = f64::from(decision.standing.shortened) - 1.0;
         let counted = (expected.seconds + expected.queue * longer) * decision.error;
@@ -227,16 +227,16 @@
         decision: &mut AdmissionDecision,
         excess: f64,
         query: &PoolQuery<'_>,
-        timing: Timing,
+        timing: RequestTiming,
         settings: &PoolAdmission,
         now: MonotonicTime,
     ) {
-        if timing.returned && !settings.late {
+        if timing.is_retry && !settings.late {
             return;
         }
         // Where it could not be in time without a queue either, no time to come back is any better.
-        let may_refuse = settings.sharing.refuses && decision.queue_part.is_some();
-        let refuses_now = may_refuse && decision.standing.is_beyond() && !timing.returned;
+        let may_refuse = settings.sharing.refuses && decision.queue_share.is_some();
+        let refuses_now = may_refuse && decision.standing.is_beyond() && !timing.is_retry;
         if settings.late && !refuses_now {
             let late_query = PoolQuery {
                 rank: LATE_RANK,
@@ -245,8 +245,8 @@
             let (late_route, late_expected) = self.choose_expecting(&late_query, now);
             let expected = decision.expected.as_secs_f64();
             let late_expected = late_expected.map_or(expected, |late| late.seconds);
-            let most = timing.left.as_secs_f64() * settings.late_share;
-            if timing.returned || late_expected <= most {
+            let most = timing.remaining.as_secs_f64() * settings.late_share;
+            if timing.is_retry || late_expected <= most {
                 decision.admission = Admission::Late;
                 decision.route = late_route;
                 decision.expected = Duration::from_secs_f64(late_expected);
@@ -268,18 +268,18 @@
         let route = self.choose(query, now);
         let context = self.context(query, now);
         let speeds = &context.speeds;
-        let until_read = |engine: &PoolEngine, usual: &ReadingSpeed| {
+        let tokens_until_prefilled = |engine: &PoolEngine, usual: &PrefillSpeed| {
             let line = if query.rank == LATE_RANK {
                 &speeds.late
             } else {
                 usual
             };
             let state = self.engines.get(&engine.id)?;
-            let ahead = state.work(now).prompt_tokens_ahead(query.rank);
+            let ahead = state.load(now).prompt_tokens_ahead(query.rank);
             let tokens = context.reading(state, query).computed;
             let slot_wait = state.slot_wait(now).as_secs_f64();
-            let seconds = slot_wait + state.reading_seconds(line, ahead + tokens, now);
-            let alone = state.reading_seconds(line, tokens, now);
+            let seconds = slot_wait + state.prefill_seconds(line, ahead + tokens, now);
+            let alone = state.prefill_seconds(line, tokens, now);
             Some(Expected {
                 seconds,
                 queue: seconds - alone,
@@ -288,18 +288,18 @@
         };
         let with_place = |expected: Expected, engine: &PoolEngine, hand_over: f64| {
             let state = self.engines.get(&engine.id);
-            let place_wait = speeds.place_wait(state.is_some_and(|state| state.has_place(now)));
+            let queue_wait = speeds.queue_wait(state.is_some_and(|state| state.has_free_slot(now)));
             Expected {
-                seconds: expected.seconds + hand_over + place_wait,
-                queue: expected.queue + place_wait,
+                seconds: expected.seconds + hand_over + queue_wait,
+                queue: expected.queue + queue_wait,
                 ..expected
             }
         };
         let expected = match &route {
-            PoolRoute::Split { prefill, decode } => until_read(prefill, &speeds.prefill)
-                .map(|read| with_place(read, decode, speeds.hand_over_seconds)),
+            PoolRoute::Split { prefill, decode } => tokens_until_prefilled(prefill, &speeds.prefill)
+                .map(|read| with_place(read, decode, speeds.handoff_seconds)),
             PoolRoute::Whole(engine) if query.prompt.is_some() => {
-                until_read(engine, &speeds.decode).map(|read| with_place(read, engine, 0.0))
+                tokens_until_prefilled(engine, &speeds.decode).map(|read| with_place(read, engine, 0.0))
             }
             PoolRoute::Whole(_) | PoolRoute::Nowhere => None,
         };
@@ -311,7 +311,7 @@
         &mut self,
         query: &PoolQuery<'_>,
         decision: &AdmissionDecision,
-        timing: Timing,
+        timing: RequestTiming,
         settings: &PoolAdmission,
         now: MonotonicTime,
     ) -> Option<Charge> {
@@ -319,8 +319,8 @@
         let speeds = self.speeds.entry(query.pool.clone()).or_insert(assumed);
         let is_turned_away = decision.admission != Admission::InTime;
         speeds
-            .turned_away
-            .observe(is_turned_away && decision.cannot_be_in_time);
+            .rejection_rate
+            .observe(is_turned_away && decision.misses_target);
         if matches!(decision.admission, Admission::Refused { .. }) {
             // What it would have had to have read is wanted all the same.
             let tokens = query.prompt.map_or(0, |prompt| prompt.tokens);
@@ -332,11 +332,11 @@
         if tenant.is_none() && !sharing.kinds {
             return None;
         }
-        if let Some(part) = decision.queue_part {
+        if let Some(part) = decision.queue_share {
             self.sharing.on_queue(query.pool, part, sharing, now);
         }
         let is_admitted = decision.admission == Admission::InTime;
-        if sharing.kinds && !is_admitted && !timing.returned {
+        if sharing.kinds && !is_admitted && !timing.is_retry {
             let kind = usize::from(query.terms.kind_rank);
             self.sharing
                 .on_outcome(query.pool, kind, false, sharing.window(), now);
@@ -345,7 +345,7 @@
             tenant: tenant?,
             tokens: decision.tokens,
             is_admitted,
-            came_back: timing.returned,
+            came_back: timing.is_retry,
         };
         Some(self.sharing.on_request(query.pool, request, sharing, now))
     }
--- a/crates/core/src/routing/pool/pace/mod.rs
+++ b/crates/core/src/routing/pool/pace/mod.rs
@@ -27,7 +27,7 @@
 pub use report::{LastingPaceReport, PaceReports, ReportedPace};
 pub use router::{PaceChange, PaceSpread};
 
-use super::engine::ToldLoad;
+use super::engine::ReportedLoad;
 use crate::time::MonotonicTime;
 use momentary::PaceTraits;
 use serde::{Deserialize, Serialize};
--- a/crates/core/src/routing/pool/pace/router.rs
+++ b/crates/core/src/routing/pool/pace/router.rs
@@ -5,7 +5,7 @@
 use super::{EnginePaceUse, reported_pace};
 use crate::forwarding::PoolId;
 use crate::identity::EngineId;
-use crate::routing::pool::engine::{EngineState, SentWork, ToldLoad};
+use crate::routing::pool::engine::{EngineState, InFlightWork, ReportedLoad};
 use crate::routing::pool::query::PoolQuery;
 use crate::routing::pool::router::PoolRouter;
 use crate::time::MonotonicTime;
@@ -177,7 +177,7 @@
     pub(in crate::routing::pool) fn observe_output(
         &mut self,
         engine: &EngineId,
-        work: &SentWork,
+        work: &InFlightWork,
         now: MonotonicTime,
     ) {
         let Some(begun_at) = work.begun_at else {
--- a/crates/core/src/routing/pool/working_set/load.rs
+++ b/crates/core/src/routing/pool/working_set/load.rs
@@ -1,8 +1,8 @@
 //! Load of the engines in use.
 
 use crate::routing::pool::engine::{EngineStage, EngineState};
+use crate::routing::pool::prefill_speed::PrefillSpeed;
 use crate::routing::pool::router::PoolRouter;
-use crate::routing::pool::speed::ReadingSpeed;
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
@@ -36,8 +36,8 @@
     /// Whether a new request would be served without waiting for another one.
     pub(super) fn is_idle(&self, now: MonotonicTime) -> bool {
         match self.engine.stage {
-            EngineStage::Prefill => self.work(now).all_prompt_tokens() == 0.0,
-            EngineStage::Decode | EngineStage::Whole => self.has_place(now),
+            EngineStage::Prefill => self.load(now).all_prompt_tokens() == 0.0,
+            EngineStage::Decode | EngineStage::Whole => self.has_free_slot(now),
         }
     }
 
@@ -46,8 +46,8 @@
         self.sent.is_empty()
             && self.peers.is_empty()
             && self.prefixes.is_empty()
-            && self.heard_at.is_none()
-            && self.ordered.is_none()
+            && self.last_answer_at.is_none()
+            && self.stage_order.is_none()
             && self.rate_limit().is_none()
     }
 
@@ -76,7 +76,7 @@
             load.busy_engines += state.busy_engines(&prefill_speed, now);
             let takes_all = state.takes_work(now, false)
                 && state.rate_limit().is_none()
-                && state.backoff_left(now).is_zero();
+                && state.remaining_backoff(now).is_zero();
             load.unusable += usize::from(!takes_all);
         }
         load
--- a/crates/core/tests/engine_starts.rs
+++ b/crates/core/tests/engine_starts.rs
@@ -12,14 +12,14 @@
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::placing::placement_table::PlacementTable;
 use shelfjunction_core::placing::question::{
-    PlacedRequest, Placement, Progress, ProgressReport, Question, RequestKey, Wanted,
+    DispatchProgress, Placement, PlacementKind, PlacementQuery, ProgressReport, RequestKey, RequestSummary,
 };
 use shelfjunction_core::quarantine::config::QuarantineSettings;
 use shelfjunction_core::quarantine::{Asked, Fingerprint, Quarantine, Standing};
 use shelfjunction_core::routing::pool::{
-    CordonInForce, EngineListing, EngineStage, EngineState, LeftAlone, ListChange, PeerWork, PoolAdmission,
-    PoolEngine, PoolRouter, PoolWeights, PrefixNews, PromptPart, PromptShape, RequestTerms, ToldLoad,
-    WorkSlice,
+    ActiveCordon, AvoidanceReason, EngineListing, EngineStage, EngineState, ListChange, PeerWork,
+    PoolAdmission, PoolEngine, PoolRouter, PoolWeights, PrefixNews, PromptPart, PromptShape, ReportedLoad,
+    RequestTerms, WorkSlice,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -97,18 +97,18 @@
     }
 
     fn answer(&mut self, number: u64, step: u32, now: MonotonicTime) -> Placement {
-        let question = Question {
+        let question = PlacementQuery {
             key: key(number),
             step,
             request: request(),
-            wanted: Wanted::Engines { excluded: Vec::new() },
+            kind: PlacementKind::Retry { excluded: Vec::new() },
         };
         let settings = PoolAdmission::default();
         let answer = self.table.answer(&mut self.router, &question, &settings, now);
         answer.unwrap().placement
     }
 
-    fn progress(&mut self, number: u64, progress: Progress, now: MonotonicTime) {
+    fn progress(&mut self, number: u64, progress: DispatchProgress, now: MonotonicTime) {
         let report = ProgressReport {
             key: key(number),
             step: 1,
@@ -125,9 +125,9 @@
     }
 }
 
-fn request() -> PlacedRequest {
+fn request() -> RequestSummary {
     let part = |name, tokens| PromptPart { name, tokens };
-    PlacedRequest {
+    RequestSummary {
         pool: pool(),
         prompt: PromptShape {
             model: "m".to_owned(),
@@ -139,7 +139,7 @@
         zone: ZoneId::new("zone-a"),
         terms: RequestTerms::default(),
         rank: 1,
-        left: Duration::from_secs(4),
+        remaining: Duration::from_secs(4),
     }
 }
 
@@ -165,7 +165,7 @@
 #[test]
 fn a_later_start_holds_nothing_of_what_the_earlier_one_was_believed_to_hold() {
     let mut node = Node::new();
-    node.router.on_peer_news(&[news(1)], at(10));
+    node.router.on_prefix_updates(&[news(1)], at(10));
     let prefixes = request().prompt.prefixes();
     assert_eq!(node.state(1).prefixes.held_tokens(&prefixes), 7_000);
     node.hear(2, listed(2), false, at(100));
@@ -239,55 +239,61 @@
         assert_eq!(chosen(node.answer(1, 1, at(10))), Some(handle(1)));
         assert_eq!(chosen(node.answer(2, 1, at(11))), Some(handle(1)));
         node.router
-            .on_peer_work(&peer, WorkSlice::ALL, &[(handle(1), work)], at(12));
-        assert_eq!(node.state(1).work(at(13)).requests, 10.0);
+            .on_peer_load(&peer, WorkSlice::ALL, &[(handle(1), work)], at(12));
+        assert_eq!(node.state(1).load(at(13)).requests, 10.0);
         node.hear(2, listed(2), false, at(100));
     }
-    let told = ToldLoad {
+    let told = ReportedLoad {
         running: 8,
         waiting: 30,
         places: 8,
         work_time_percent: Some(900),
     };
     for node in &mut nodes {
-        node.progress(1, Progress::Begun { told: Some(told) }, at(110));
-        node.progress(1, Progress::Broken, at(111));
-        node.progress(2, Progress::Answered { pauses: vec![400] }, at(112));
+        node.progress(
+            1,
+            DispatchProgress::Started {
+                reported_load: Some(told),
+            },
+            at(110),
+        );
+        node.progress(1, DispatchProgress::ConnectionFailed, at(111));
+        node.progress(2, DispatchProgress::Answered { pauses: vec![400] }, at(112));
         node.router
-            .on_peer_work(&peer, WorkSlice::ALL, &[(handle(1), work)], at(113));
-        node.router.on_peer_news(&[news(1)], at(114));
+            .on_peer_load(&peer, WorkSlice::ALL, &[(handle(1), work)], at(113));
+        node.router.on_prefix_updates(&[news(1)], at(114));
         node.router
             .on_ordered(&[(handle(1), EngineStage::Prefill)], at(115));
         node.hear(3, listed(1), false, at(116));
         node.hear(4, gone(1), false, at(117));
         let now = at(118);
         let state = node.state(2);
-        assert_eq!(state.work(now).requests, 0.0, "work, own and told");
+        assert_eq!(state.load(now).requests, 0.0, "work, own and told");
         assert!(state.prefixes.is_empty(), "news");
-        assert!(!state.answers(now), "liveness");
+        assert!(!state.answered_recently(now), "liveness");
         assert_eq!(state.ordered_stage(now), None, "orders");
         assert_eq!(state.work_factor(now), 1.0);
         assert_eq!(node.router.taking_work(now), 1, "health");
-        assert_eq!(node.router.own_work(), [], "the earlier one's work has ended");
+        assert_eq!(node.router.own_load(), [], "the earlier one's work has ended");
         assert_eq!(chosen(node.answer(3, 1, now)), Some(handle(2)));
-        assert_eq!(node.state(2).work(now).requests, 1.0);
+        assert_eq!(node.state(2).load(now).requests, 1.0);
     }
 }
 
 #[test]
 fn words_of_a_start_that_a_node_has_not_heard_of_are_passed_over() {
     let mut node = Node::new();
-    node.router.on_peer_news(&[news(2)], at(10));
+    node.router.on_prefix_updates(&[news(2)], at(10));
     let work = PeerWork {
         requests: 3,
         ..PeerWork::default()
     };
     let peer = NodeId::new("peer");
     node.router
-        .on_peer_work(&peer, WorkSlice::ALL, &[(handle(2), work)], at(11));
+        .on_peer_load(&peer, WorkSlice::ALL, &[(handle(2), work)], at(11));
     assert_eq!(node.router.engine_named(handle(2)), None);
     assert!(node.state(1).prefixes.is_empty());
-    assert_eq!(node.state(1).work(at(12)).requests, 0.0);
+    assert_eq!(node.state(1).load(at(12)).requests, 0.0);
 }
 
 #[test]
@@ -337,18 +343,21 @@
 #[test]
 fn what_operators_cordon_by_its_identifier_stays_cordoned_when_it_starts_again() {
     let mut node = Node::new();
-    node.router.on_cordons(vec![CordonInForce {
+    node.router.on_cordons(vec![ActiveCordon {
         target: CordonTarget::Engine(NAME.to_owned()),
         until: at(60_000),
         forced: true,
     }]);
     node.hear(2, listed(2), false, at(100));
     assert!(matches!(
-        node.state(2).left_alone(at(110)),
-        Some(LeftAlone::Cordoned { .. })
+        node.state(2).avoidance_reason(at(110)),
+        Some(AvoidanceReason::Cordoned { .. })
     ));
     assert_eq!(node.answer(1, 1, at(111)), Placement::Nowhere);
-    assert_eq!(node.state(1).left_alone(at(111)), Some(LeftAlone::Gone));
+    assert_eq!(
+        node.state(1).avoidance_reason(at(111)),
+        Some(AvoidanceReason::Gone)
+    );
     let standing: Vec<_> = node
         .router
         .standings()
--- a/crates/core/tests/engine_troubles.rs
+++ b/crates/core/tests/engine_troubles.rs
@@ -12,7 +12,7 @@
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::routing::health::Health;
 use shelfjunction_core::routing::pool::{
-    EngineStage, OutputWay, PoolEngine, PoolQuery, PoolRoute, PoolRouter, PoolWeights, PrefixBlock,
+    EngineStage, KvCacheSource, PoolEngine, PoolQuery, PoolRoute, PoolRouter, PoolWeights, PrefixBlock,
     PrefixNews, PromptPart, PromptShape, RequestTerms, SilenceWord,
 };
 use shelfjunction_core::time::MonotonicTime;
@@ -90,14 +90,14 @@
 
 fn fall_silent(router: &mut PoolRouter, id: &str, now: MonotonicTime) {
     let asked = Asked::new(false);
-    let ticket = router.on_output_sent(&EngineId::new(id), &asked.query(0), OutputWay::Reads, now);
-    router.on_silent(&ticket, now);
+    let ticket = router.on_output_sent(&EngineId::new(id), &asked.query(0), KvCacheSource::Prefill, now);
+    router.on_silence(&ticket, now);
 }
 
 fn answer(router: &mut PoolRouter, id: &str, now: MonotonicTime) {
     let asked = Asked::new(false);
-    let ticket = router.on_output_sent(&EngineId::new(id), &asked.query(0), OutputWay::Reads, now);
-    router.on_output_begun(&ticket, &asked.prefixes, now);
+    let ticket = router.on_output_sent(&EngineId::new(id), &asked.query(0), KvCacheSource::Prefill, now);
+    router.on_output_started(&ticket, &asked.prefixes, now);
     router.on_answered(&ticket);
 }
 
@@ -124,11 +124,11 @@
         let mut now = NOW;
         let mut pauses = Vec::new();
         for _ in 0..5 {
-            health.silent(now);
+            health.on_unresponsive(now);
             // Whoever else waited for it says so a moment later: nothing new.
-            health.silent(now + Duration::from_millis(50));
+            health.on_unresponsive(now + Duration::from_millis(50));
             let begun = now;
-            while health.is_paused(now) {
+            while health.is_backing_off(now) {
                 now = now + Duration::from_millis(50);
             }
             pauses.push(now.since(begun).as_millis());
@@ -139,17 +139,17 @@
     #[test]
     fn an_answer_to_another_node_ends_a_pause_for_silence_but_no_other() {
         let mut silent = Health::default();
-        silent.silent(NOW);
-        silent.answered_elsewhere(after(100));
-        assert!(!silent.is_paused(after(100)));
+        silent.on_unresponsive(NOW);
+        silent.on_peer_success(after(100));
+        assert!(!silent.is_backing_off(after(100)));
         let mut full = Health::default();
-        full.refused(EngineRefusalReason::QueueFull, NOW);
-        full.answered_elsewhere(after(50));
-        assert!(full.is_paused(after(50)));
+        full.on_refusal(EngineRefusalReason::QueueFull, NOW);
+        full.on_peer_success(after(50));
+        assert!(full.is_backing_off(after(50)));
         let mut broken = Health::default();
-        broken.broke(NOW);
-        broken.answered_elsewhere(after(50));
-        assert!(broken.is_paused(after(50)));
+        broken.on_connection_failure(NOW);
+        broken.on_peer_success(after(50));
+        assert!(broken.is_backing_off(after(50)));
     }
 
     fn word(engine: &str, sent_before_millis: u32) -> SilenceWord {
@@ -165,24 +165,27 @@
         let mut router = router(&[engine("d1"), engine("d2")]);
         let asked = Asked::new(false);
         answer(&mut router, "d1", after(100));
-        router.on_peer_silences(&[word("d1", 250)], true, after(300));
+        router.on_peer_silence_reports(&[word("d1", 250)], true, after(300));
         assert!(to(&router, &asked, "d1", after(310)) > 0, "it has answered since");
-        router.on_peer_silences(&[word("d1", 250)], false, after(700));
+        router.on_peer_silence_reports(&[word("d1", 250)], false, after(700));
         assert!(
             to(&router, &asked, "d1", after(710)) > 0,
             "small fleets judge for themselves"
         );
-        router.on_peer_silences(&[word("d1", 250)], true, after(700));
+        router.on_peer_silence_reports(&[word("d1", 250)], true, after(700));
         assert_eq!(to(&router, &asked, "d1", after(710)), 0);
         let news = PrefixNews {
             engine: SubjectHandle::of_engine(&EngineId::new("d1")),
             prefixes: Vec::new(),
             just_answered: true,
         };
-        router.on_peer_news(&[news], after(720));
+        router.on_prefix_updates(&[news], after(720));
         assert!(to(&router, &asked, "d1", after(730)) > 0);
-        let changes = router.take_engine_changes();
-        let pauses: Vec<_> = changes.iter().map(|change| (change.pause, change.told)).collect();
+        let changes = router.take_availability_changes();
+        let pauses: Vec<_> = changes
+            .iter()
+            .map(|change| (change.pause, change.from_peer))
+            .collect();
         assert_eq!(pauses, [(Some(Duration::from_millis(500)), true), (None, true)]);
     }
 
@@ -191,16 +194,16 @@
         let mut router = router(&[engine("d1"), engine("d2")]);
         let asked = Asked::new(false);
         let id = EngineId::new("d1");
-        let ticket = router.on_output_sent(&id, &asked.query(0), OutputWay::Reads, NOW);
-        router.on_silent(&ticket, after(250));
-        assert_eq!(router.take_silences(8, after(270)), [word("d1", 270)]);
-        assert!(router.take_silences(8, after(270)).is_empty());
+        let ticket = router.on_output_sent(&id, &asked.query(0), KvCacheSource::Prefill, NOW);
+        router.on_silence(&ticket, after(250));
+        assert_eq!(router.take_silence_reports(8, after(270)), [word("d1", 270)]);
+        assert!(router.take_silence_reports(8, after(270)).is_empty());
     }
 
     #[test]
     fn a_word_of_an_engine_that_is_not_known_changes_nothing() {
         let mut router = router(&[engine("d1")]);
-        router.on_peer_silences(&[word("d9", 250)], true, NOW);
+        router.on_peer_silence_reports(&[word("d9", 250)], true, NOW);
         assert!(router.take_path_changes().is_empty());
     }
 }
@@ -216,7 +219,7 @@
             answer(&mut router, id, NOW);
         }
         let id = EngineId::new("d1");
-        let ticket = router.on_output_sent(&id, &asked.query(0), OutputWay::Reads, NOW);
+        let ticket = router.on_output_sent(&id, &asked.query(0), KvCacheSource::Prefill, NOW);
         router.on_broken(&ticket, NOW);
         answer(&mut router, "d1", after(600));
         router
@@ -238,7 +241,7 @@
             router.on_output_sent(
                 &EngineId::new("d2"),
                 &asked.query(0),
-                OutputWay::Fetches,
+                KvCacheSource::Transfer,
                 after(650),
             );
         }
@@ -280,7 +283,7 @@
                 ..spot(id)
             });
         }
-        assert!(router.note_reclaims(NOW));
+        assert!(router.update_reclaimed_zones(NOW));
         let now = after(5_000);
         assert_eq!(to(&router, &Asked::new(true), "s3", now), 0);
         assert!(to(&router, &Asked::new(false), "s3", now) > 300);
--- a/crates/core/tests/rate_limit_choice.rs
+++ b/crates/core/tests/rate_limit_choice.rs
@@ -8,9 +8,9 @@
 use shelfjunction_core::forwarding::PoolId;
 use shelfjunction_core::identity::{EngineId, EngineStart, ZoneId};
 use shelfjunction_core::membership::subject::SubjectHandle;
-use shelfjunction_core::rate_limit::{AnsweredLimit, LimitChange, LimitNotice, RateLimit};
+use shelfjunction_core::rate_limit::{LimitChange, LimitNotice, RateLimit, ResponseLimit};
 use shelfjunction_core::routing::pool::{
-    EngineStage, OutputWay, PoolEngine, PoolQuery, PoolRoute, PoolRouter, PoolWeights, RequestTerms,
+    EngineStage, KvCacheSource, PoolEngine, PoolQuery, PoolRoute, PoolRouter, PoolWeights, RequestTerms,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -55,9 +55,9 @@
 }
 
 fn name_limit(router: &mut PoolRouter, engine: &str, rate: f64) {
-    let said = AnsweredLimit::Named(RateLimit::of(rate).unwrap());
+    let said = ResponseLimit::Valid(RateLimit::new(rate).unwrap());
     let change = router.on_answered_limit(&EngineId::new(engine), &said, NOW, NOW);
-    assert_eq!(change, LimitChange::Limit);
+    assert_eq!(change, LimitChange::Changed);
 }
 
 fn no_slot_for(router: &mut PoolRouter, engine: &str, millis: u64) {
@@ -86,7 +86,7 @@
     no_slot_for(&mut router, "b", 400);
     assert_eq!(choose(&router, 500), Some("a".to_owned()), "the shorter wait");
     assert_eq!(choose(&router, 100), None, "also where nothing else is left");
-    let wait = router.next_acceptance(&asked.query(100), NOW);
+    let wait = router.time_until_accepted(&asked.query(100), NOW);
     assert_eq!(
         wait,
         Some(Duration::from_millis(200)),
@@ -103,13 +103,13 @@
 fn a_limit_belongs_to_one_start_of_an_engine() {
     let mut router = router();
     name_limit(&mut router, "a", 1.0);
-    assert_eq!(router.limited().count(), 1);
+    assert_eq!(router.rate_limited_engines().count(), 1);
     let started_again = PoolEngine {
         id: EngineId::started("a", EngineStart(7)),
         ..engine_with("a", EngineStage::Whole, 8)
     };
     router.on_engine_listed(started_again);
-    assert_eq!(router.limited().count(), 0);
+    assert_eq!(router.rate_limited_engines().count(), 0);
 }
 
 #[test]
@@ -125,8 +125,8 @@
     );
     assert!(other.on_limit_notice(&notices[0], later).is_some());
     assert!(other.on_limit_notice(&notices[0], later).is_none(), "nothing new");
-    let limited = other.limited().next().unwrap();
-    assert_eq!(limited.rate_limit(), RateLimit::of(1.7));
+    let limited = other.rate_limited_engines().next().unwrap();
+    assert_eq!(limited.rate_limit(), RateLimit::new(1.7));
     assert_eq!(limited.slot_wait(later), Duration::from_millis(200));
     assert!(
         other.limit_notices(true, later).is_empty(),
@@ -142,7 +142,7 @@
         other.on_limit_notice(&notices[0], later).is_none(),
         "the older notice comes late"
     );
-    assert_eq!(other.limited().count(), 0);
+    assert_eq!(other.rate_limited_engines().count(), 0);
 }
 
 #[test]
@@ -159,7 +159,7 @@
     // Sixteen a second for long: eight fall to each engine.
     for _ in 0..800 {
         now = now + Duration::from_micros(62_500);
-        let ticket = router.on_output_sent(&EngineId::new("b"), &asked.query(0), OutputWay::Reads, now);
+        let ticket = router.on_output_sent(&EngineId::new("b"), &asked.query(0), KvCacheSource::Prefill, now);
         router.on_answered(&ticket);
     }
     let parts = part(&router, now);
--- a/crates/core/tests/sharing_placers.rs
+++ b/crates/core/tests/sharing_placers.rs
@@ -11,8 +11,8 @@
 use shelfjunction_core::identity::{EngineId, NodeId, ZoneId};
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::routing::pool::{
-    Admission, PeerWork, PoolAdmission, PoolQuery, PoolRouter, PromptPart, PromptShape, RequestTerms, Timing,
-    WorkSlice,
+    Admission, PeerWork, PoolAdmission, PoolQuery, PoolRouter, PromptPart, PromptShape, RequestTerms,
+    RequestTiming, WorkSlice,
 };
 use shelfjunction_core::sharing::{SharingSettings, TenantRequest};
 use shelfjunction_core::time::MonotonicTime;
@@ -320,7 +320,7 @@
     let mut work = PeerWork::default();
     work.prompt_tokens[0] = 15_000;
     let now = MonotonicTime::from_millis(1_000);
-    router.on_peer_work(&NodeId::new("other"), WorkSlice::ALL, &[(engine, work)], now);
+    router.on_peer_load(&NodeId::new("other"), WorkSlice::ALL, &[(engine, work)], now);
     for (tenant, tokens, is_admitted) in [("large", 1e5, true), ("small", 1e4, true), ("small", 1e6, false)] {
         let request = TenantRequest {
             tenant: SubjectHandle::of_text("tenant", tenant),
@@ -339,7 +339,7 @@
 }
 
 /// What becomes of a prompt whose target is 500 ms, where 300 ms of work wait.
-fn decided(settings: &PoolAdmission, tenant: &str, tokens: u32, returned: bool) -> Admission {
+fn decided(settings: &PoolAdmission, tenant: &str, tokens: u32, is_retry: bool) -> Admission {
     let router = contended(settings);
     let prompt = PromptShape {
         model: "m".to_owned(),
@@ -364,10 +364,10 @@
         slot_max_wait: Duration::ZERO,
         draw: 1,
     };
-    let timing = Timing {
+    let timing = RequestTiming {
         target: Duration::from_millis(500),
-        left: Duration::from_secs(4),
-        returned,
+        remaining: Duration::from_secs(4),
+        is_retry,
     };
     let now = MonotonicTime::from_millis(1_000);
     router.admit(&query, timing, settings, now).admission
--- a/crates/node/src/course/pauses.rs
+++ b/crates/node/src/course/pauses.rs
@@ -3,7 +3,7 @@
 use super::accounting::Account;
 use super::driver::Driver;
 use crate::placing;
-use shelfjunction_core::placing::question::Progress;
+use shelfjunction_core::placing::question::DispatchProgress;
 use shelfjunction_core::time::MonotonicTime;
 use shelfjunction_threads::lock;
 use std::time::Duration;
@@ -78,13 +78,13 @@
         let beside = match &exchange.account {
             Account::Own(ticket) => {
                 let mut router = lock(&self.context.router);
-                router.on_paused_too_long(ticket);
-                Some(router.beside(engine, now))
+                router.on_event_gap_exceeded(ticket);
+                Some(router.concurrent_work(engine, now))
             }
             Account::Placer { at, .. } => {
                 let part = pause.as_secs_f64() / allowed.as_secs_f64().max(f64::MIN_POSITIVE);
                 let hundredths = (part * 100.0).min(f64::from(u16::MAX)) as u16;
-                placing::tell(self.context, at, Progress::Paused { hundredths });
+                placing::tell(self.context, at, DispatchProgress::Paused { hundredths });
                 None
             }
         };
