--- a/crates/core/src/routing/pool/pace/mod.rs
+++ b/crates/core/src/routing/pool/pace/mod.rs
@@ -51,7 +51,7 @@
 const PLAUSIBLE_PERCENT: (u32, u32) = (10, 5_000);
 
 /// The momentary pace in a load report of an engine, as a factor; absent if it is missing or implausible.
-pub(super) fn reported_pace(load: &ToldLoad) -> Option<f64> {
+pub(super) fn reported_pace(load: &ReportedLoad) -> Option<f64> {
     let (min, max) = PLAUSIBLE_PERCENT;
     let percent = load.work_time_percent?;
     (min..=max).contains(&percent).then(|| f64::from(percent) / 100.0)
--- a/crates/core/src/routing/pool/pace/router.rs
+++ b/crates/core/src/routing/pool/pace/router.rs
@@ -72,7 +72,7 @@
     pub(in crate::routing::pool) fn on_reported_pace(
         &mut self,
         engine: &EngineId,
-        load: &ToldLoad,
+        load: &ReportedLoad,
         now: MonotonicTime,
     ) {
         let (Some(reported), true) = (
@@ -284,9 +284,9 @@
             return;
         }
         for report in &reports.figures {
-            let load = ToldLoad {
+            let load = ReportedLoad {
                 work_time_percent: Some(u32::from(report.percent)),
-                ..ToldLoad::default()
+                ..ReportedLoad::default()
             };
             let reported_at = now - Duration::from_millis(u64::from(report.age_millis));
             if let (Some(reported), Some(state)) = (reported_pace(&load), self.state_of(report.engine)) {
--- a/crates/core/src/routing/pool/working_set/load.rs
+++ b/crates/core/src/routing/pool/working_set/load.rs
@@ -20,8 +20,8 @@
 
 impl EngineState {
     /// Number of engines that the work at this engine would keep busy; above one if requests queue.
-    fn busy_engines(&self, prefill_speed: &ReadingSpeed, now: MonotonicTime) -> f64 {
-        let work = self.work(now);
+    fn busy_engines(&self, prefill_speed: &PrefillSpeed, now: MonotonicTime) -> f64 {
+        let work = self.load(now);
         if self.engine.stage != EngineStage::Prefill {
             let slot_share = work.requests / f64::from(self.engine.places.max(1));
             return slot_share.max(work.memory_tokens / self.prefixes.capacity_tokens().max(1.0));
@@ -30,7 +30,7 @@
         if tokens == 0.0 {
             return 0.0;
         }
-        (self.reading_seconds(prefill_speed, tokens, now) / PREFILL_SECONDS_PER_BUSY_ENGINE).max(1.0)
+        (self.prefill_seconds(prefill_speed, tokens, now) / PREFILL_SECONDS_PER_BUSY_ENGINE).max(1.0)
     }
 
     /// Whether a new request would be served without waiting for another one.
@@ -43,7 +43,7 @@
 
     /// Whether there is no state of this engine: nothing was sent to it and nothing received about it.
     pub(super) fn has_no_state(&self) -> bool {
-        self.sent.is_empty()
+        self.in_flight.is_empty()
             && self.peers.is_empty()
             && self.prefixes.is_empty()
             && self.last_answer_at.is_none()
@@ -54,11 +54,11 @@
     /// Whether the engine has had no work for the hold time and its state may be dropped.
     pub(super) fn is_unused_for(&self, hold: Duration, now: MonotonicTime) -> bool {
         let is_past_hold = |at: Option<MonotonicTime>| at.is_none_or(|at| now.since(at) >= hold);
-        self.work(now).requests == 0.0
+        self.load(now).requests == 0.0
             && self.ordered_stage(now).is_none()
             // The rate limit that the engine reported would be lost with its state.
             && self.rate_limit().is_none()
-            && is_past_hold(self.heard_at)
+            && is_past_hold(self.last_answer_at)
             && is_past_hold(self.prefixes.latest_use())
     }
 }
