--- a/crates/core/src/routing/pool/admission.rs
+++ b/crates/core/src/routing/pool/admission.rs
@@ -1,22 +1,23 @@
-//! Whether a request is taken, and in which order of urgency.
+//! Admission control: whether a request is admitted in its own rank, served late, or refused.
 //!
-//! With the times of [`super::pool_speeds`] learned from what was seen, and the work at engines counted over every node:
+//! The times come from [`super::pool_speeds`]; the load of the engines is counted over all nodes:
 //!
 //! ```text
-//! expected = time until the first event at the engines that the router would choose now
+//! expected = estimated time until the first event at the engines that the router would choose now
 //! in time  if expected * error <= target - allowance
-//! late     otherwise, if the first event is expected before the caller stops waiting: behind all that can be in time
-//! refused  otherwise, at once, with the time until there should be room
+//! late     otherwise, if the first event is expected before the caller times out; ranked below all requests in time
+//! refused  otherwise, immediately, with a `retry_after` estimate of when there will be capacity
 //! ```
 //!
-//! `error` is what first events took over what was expected of them, at a quantile that rises with the share of the
-//! requests turned away of late: while nearly all can be in time, one is turned away only if it is all but sure to be
-//! late; when a queue stands at the limit, everything that is taken to the limit is late by half.
+//! `error` is a quantile of the ratio of observed to estimated times until the first event. The quantile rises with the
+//! share of requests that were recently served late or refused. While nearly all requests meet their target, a request
+//! is rejected only if it will almost certainly be late. Under sustained overload, admitting every request that is
+//! estimated to just meet its target would make about half of them late.
 //!
-//! Where callers compete for the pool ([`crate::sharing`]), the part of `expected` that is a queue counts for more than
-//! it is for a tenant or a kind that had more than its share, so that it is turned away while others still find room.
+//! Where tenants or request kinds compete for the pool ([`crate::sharing`]), the queueing part of `expected` is scaled
+//! up for those that exceeded their share, so that they are rejected while others are still admitted.
 //!
-//! A caller that has come back after a refusal is not refused again: it goes the late way.
+//! A caller that retries after a refusal is not refused again; its request is served late.
 
 use super::choice::PoolRoute;
 use super::engine::PoolEngine;
@@ -30,26 +31,27 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Settings of the admission.
+/// Settings of admission control.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PoolAdmission {
-    /// Whether requests are looked at before they are taken; otherwise each is taken as it comes.
+    /// Whether admission control is on; if off, every request is admitted.
     pub enabled: bool,
-    /// Whether a request that can't be in time may be served late, behind those that can.
+    /// Whether a request that can't meet its target may be served late, ranked below those that can.
     pub late: bool,
-    /// Part of the target that the way to the caller and back takes, in milliseconds.
+    /// Part of the target reserved for the network round trip to the caller, in milliseconds.
     pub allowance_millis: u64,
-    /// Part of the time left within which the first event of a late request must be expected.
+    /// Fraction of the remaining time within which the first event of a late request must be expected, 0 to 1.
     pub late_share: f64,
-    /// Share of the requests turned away of late from which a request is turned away unless it is likely to be in time;
-    /// with fewer, only if it is likely to be late.
+    /// Share of late or refused requests, above 0 and at most 1, from which admission is strictest: a request is then
+    /// admitted only if it is likely to meet its target. At a lower share it is rejected only if it is likely to be
+    /// late.
     pub full_care_share: f64,
-    /// Shortest time after which a refused caller is asked to come back, in milliseconds.
+    /// Minimum `retry_after` of a refusal, in milliseconds.
     pub least_return_millis: u64,
-    /// Longest time after which a refused caller is asked to come back, in milliseconds.
+    /// Maximum `retry_after` of a refusal, in milliseconds.
     pub most_return_millis: u64,
-    /// How tenants and kinds share a pool that has no room for all.
+    /// How tenants and request kinds share an overloaded pool.
     pub sharing: SharingSettings,
 }
 
@@ -69,7 +71,7 @@
 }
 
 impl PoolAdmission {
-    /// Every wrong setting.
+    /// Returns an error for each invalid setting.
     pub fn validate(&self) -> Vec<FieldError> {
         let mut errors = self.sharing.validate();
         if !(self.full_care_share > 0.0 && self.full_care_share <= 1.0) {
@@ -97,83 +99,88 @@
     }
 }
 
-/// What of a request decides beside the engines.
+/// Time limits and retry status of a request, as inputs of the admission decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestTiming {
-    /// Time within which the first event is worth most.
+    /// Target time until the first event.
     pub target: Duration,
-    /// Time that the caller still waits.
+    /// Time until the caller times out.
     pub remaining: Duration,
-    /// Whether the caller has come back after a refusal.
+    /// Whether the caller retries after a refusal.
     pub is_retry: bool,
 }
 
-/// What is done with a request.
+/// Outcome of the admission decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Admission {
-    /// It is served in its rank.
+    /// Served in its own rank.
     InTime,
-    /// It is served behind everything that can be in time.
+    /// Served in [`LATE_RANK`], below all requests that can meet their target.
     Late,
-    /// It is refused.
+    /// Not served.
     Refused {
-        /// When to come back.
+        /// Time after which the caller should retry.
         retry_after: Duration,
     },
 }
 
-/// A decision with what it was made from.
+/// An admission decision and the estimates that it is based on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionDecision {
-    /// The decision.
+    /// Whether the request is served in time, late or not at all.
     pub admission: Admission,
-    /// Where the request goes now; nowhere when it is refused.
+    /// Engines chosen for the request; [`PoolRoute::Nowhere`] if it is refused.
     pub route: PoolRoute,
-    /// Expected time until the first event; zero where nothing is known of it.
+    /// Estimated time until the first event; zero if there is no estimate.
     pub expected: Duration,
-    /// Factor by which expectations are exceeded.
+    /// Factor applied to estimates to cover their usual error.
     pub error: f64,
-    /// Share of the requests that were turned away of late: served behind others or refused.
+    /// Recent share of requests that could not meet their target and were served late or refused.
     pub late_or_refused_share: f64,
-    /// Whether it can't be in time by what was expected, whoever asks.
+    /// Whether the estimate exceeds the target, regardless of tenant and kind.
     pub misses_target: bool,
-    /// The queue that it met, as part of the longest with which it could be in time; absent where none would do.
+    /// Queueing time as a fraction of the longest with which the target would be met; absent if even an empty queue
+    /// would miss it.
     pub queue_share: Option<f64>,
-    /// Tokens that it takes to read and to write.
+    /// Prompt tokens to prefill plus expected output tokens.
     pub tokens: f64,
-    /// How its tenant and its kind stand.
+    /// Usage of its tenant and kind relative to their shares.
     pub standing: Standing,
 }
 
-/// Expected time until a first event, in seconds.
+/// Estimate of the time until the first event.
 #[derive(Clone, Copy, Debug)]
-struct Expected {
-    /// In all.
+struct FirstEventEstimate {
+    /// Total time, in seconds.
     seconds: f64,
-    /// The part for which the request waits for others.
-    queue: f64,
-    /// Tokens of its own that are to be read.
-    tokens: f64,
+    /// Part of `seconds` spent waiting for other requests.
+    queue_seconds: f64,
+    /// Prompt tokens of the request that must be prefilled.
+    prefill_tokens: f64,
 }
 
-/// Rank below every route's, for what can't be in time.
+/// Rank of late requests, below the rank of every route.
 pub const LATE_RANK: usize = super::beliefs::RANKS - 1;
 
-/// Whether a prompt that could not be in time without a queue either is one of those that go ahead all the same, so that
-/// such prompts are not starved: drawn with the same part of them at every placer.
-fn goes_ahead(decision: &AdmissionDecision, query: &PoolQuery<'_>, settings: &SharingSettings) -> bool {
+/// Whether to admit a prompt that would miss its target even with an empty queue. A configured fraction of such prompts
+/// is admitted so that they are not starved; the fraction is the same at every placer.
+fn is_exempt_large_prompt(
+    decision: &AdmissionDecision,
+    query: &PoolQuery<'_>,
+    settings: &SharingSettings,
+) -> bool {
     let is_large = decision.queue_share.is_none() && decision.standing.contended;
-    let due = settings.large_prompts * (1.0 - decision.late_or_refused_share);
-    is_large && fraction(mix(query.draw)) < due
+    let admitted_fraction = settings.large_prompts * (1.0 - decision.late_or_refused_share);
+    is_large && unit_interval(mix(query.draw)) < admitted_fraction
 }
 
-/// A drawn number as a fraction of one.
-fn fraction(draw: u64) -> f64 {
+/// Maps a random number to the interval from 0 to 1.
+fn unit_interval(draw: u64) -> f64 {
     (draw >> 11) as f64 / (1u64 << 53) as f64
 }
 
 impl PoolRouter {
-    /// Chooses where a request goes and decides whether it is taken.
+    /// Chooses engines for a request and decides whether it is admitted.
     pub fn admit(
         &self,
         query: &PoolQuery<'_>,
@@ -181,14 +188,14 @@
         settings: &PoolAdmission,
         now: MonotonicTime,
     ) -> AdmissionDecision {
-        let (route, expected) = self.choose_expecting(query, now);
+        let (route, expected) = self.choose_with_estimate(query, now);
         let speeds = self.speeds(query.pool);
-        let care = speeds.rejection_rate.share() / settings.full_care_share;
+        let strictness = speeds.rejection_rate.share() / settings.full_care_share;
         let mut decision = AdmissionDecision {
             admission: Admission::InTime,
             route,
             expected: Duration::ZERO,
-            error: speeds.error.factor(care),
+            error: speeds.error.factor(strictness),
             late_or_refused_share: speeds.rejection_rate.share(),
             misses_target: false,
             queue_share: None,
@@ -200,17 +207,25 @@
         };
         let output = query.prompt.map_or(0, PromptShape::expected_output_tokens);
         decision.expected = Duration::from_secs_f64(expected.seconds);
-        decision.tokens = expected.tokens + f64::from(output);
+        decision.tokens = expected.prefill_tokens + f64::from(output);
         let allowance = Duration::from_millis(settings.allowance_millis);
-        let allowed = timing.target.saturating_sub(allowance).as_secs_f64();
-        let bearable = allowed - (expected.seconds - expected.queue) * decision.error;
-        decision.queue_share = (bearable > 0.0).then(|| expected.queue * decision.error / bearable);
-        decision.misses_target = expected.seconds * decision.error > allowed;
+        let max_seconds = timing.target.saturating_sub(allowance).as_secs_f64();
+        let max_queue_seconds = max_seconds - (expected.seconds - expected.queue_seconds) * decision.error;
+        decision.queue_share =
+            (max_queue_seconds > 0.0).then(|| expected.queue_seconds * decision.error / max_queue_seconds);
+        decision.misses_target = expected.seconds * decision.error > max_seconds;
         decision.standing = self.standing(query, settings, now);
-        let longer = f64::from(decision.standing.shortened) - 1.0;
-        let counted = (expected.seconds + expected.queue * longer) * decision.error;
-        if counted > allowed && !goes_ahead(&decision, query, &settings.sharing) {
-            self.turn_away(&mut decision, counted - allowed, query, timing, settings, now);
+        let queue_penalty = f64::from(decision.standing.shortened) - 1.0;
+        let weighted_seconds = (expected.seconds + expected.queue_seconds * queue_penalty) * decision.error;
+        if weighted_seconds > max_seconds && !is_exempt_large_prompt(&decision, query, &settings.sharing) {
+            self.defer_or_refuse(
+                &mut decision,
+                weighted_seconds - max_seconds,
+                query,
+                timing,
+                settings,
+                now,
+            );
         }
         decision
     }
@@ -221,8 +236,8 @@
             .standing(query.pool, query.terms.tenant, kind, &settings.sharing, now)
     }
 
-    /// Decides what becomes of a request that is not taken to be in time.
-    fn turn_away(
+    /// Decides whether a request that will miss its target is served late or refused.
+    fn defer_or_refuse(
         &self,
         decision: &mut AdmissionDecision,
         excess: f64,
@@ -234,28 +249,28 @@
         if timing.is_retry && !settings.late {
             return;
         }
-        // Where it could not be in time without a queue either, no time to come back is any better.
+        // A prompt that misses its target even with an empty queue gains nothing from a retry.
         let may_refuse = settings.sharing.refuses && decision.queue_share.is_some();
-        let refuses_now = may_refuse && decision.standing.is_beyond() && !timing.is_retry;
-        if settings.late && !refuses_now {
+        let refuse_now = may_refuse && decision.standing.is_beyond() && !timing.is_retry;
+        if settings.late && !refuse_now {
             let late_query = PoolQuery {
                 rank: LATE_RANK,
                 ..query.clone()
             };
-            let (late_route, late_expected) = self.choose_expecting(&late_query, now);
+            let (late_route, late_expected) = self.choose_with_estimate(&late_query, now);
             let expected = decision.expected.as_secs_f64();
             let late_expected = late_expected.map_or(expected, |late| late.seconds);
-            let most = timing.remaining.as_secs_f64() * settings.late_share;
-            if timing.is_retry || late_expected <= most {
+            let max_seconds = timing.remaining.as_secs_f64() * settings.late_share;
+            if timing.is_retry || late_expected <= max_seconds {
                 decision.admission = Admission::Late;
                 decision.route = late_route;
                 decision.expected = Duration::from_secs_f64(late_expected);
                 return;
             }
         }
-        let spread = 1.0 + fraction(query.draw);
-        let until_room = excess.max(decision.standing.seconds_beyond(&settings.sharing));
-        let retry_after = Duration::from_secs_f64(until_room * spread).clamp(
+        let jitter = 1.0 + unit_interval(query.draw);
+        let until_capacity = excess.max(decision.standing.seconds_beyond(&settings.sharing));
+        let retry_after = Duration::from_secs_f64(until_capacity * jitter).clamp(
             Duration::from_millis(settings.least_return_millis),
             Duration::from_millis(settings.most_return_millis),
         );
@@ -263,50 +278,53 @@
         decision.route = PoolRoute::Nowhere;
     }
 
-    /// Like [`Self::choose`], with the time until the first event; absent where no prompt is read.
-    fn choose_expecting(&self, query: &PoolQuery<'_>, now: MonotonicTime) -> (PoolRoute, Option<Expected>) {
+    /// Like [`Self::choose`], with an estimate of the time until the first event; absent if nothing is prefilled.
+    fn choose_with_estimate(
+        &self,
+        query: &PoolQuery<'_>,
+        now: MonotonicTime,
+    ) -> (PoolRoute, Option<FirstEventEstimate>) {
         let route = self.choose(query, now);
         let context = self.context(query, now);
         let speeds = &context.speeds;
-        let tokens_until_prefilled = |engine: &PoolEngine, usual: &PrefillSpeed| {
-            let line = if query.rank == LATE_RANK {
+        let prefill_estimate = |engine: &PoolEngine, default_speed: &PrefillSpeed| {
+            let speed = if query.rank == LATE_RANK {
                 &speeds.late
             } else {
-                usual
+                default_speed
             };
             let state = self.engines.get(&engine.id)?;
             let ahead = state.load(now).prompt_tokens_ahead(query.rank);
-            let tokens = context.reading(state, query).computed;
+            let prefill_tokens = context.reading(state, query).computed;
             let slot_wait = state.slot_wait(now).as_secs_f64();
-            let seconds = slot_wait + state.prefill_seconds(line, ahead + tokens, now);
-            let alone = state.prefill_seconds(line, tokens, now);
-            Some(Expected {
+            let seconds = slot_wait + state.prefill_seconds(speed, ahead + prefill_tokens, now);
+            let uncontended = state.prefill_seconds(speed, prefill_tokens, now);
+            Some(FirstEventEstimate {
                 seconds,
-                queue: seconds - alone,
-                tokens,
+                queue_seconds: seconds - uncontended,
+                prefill_tokens,
             })
         };
-        let with_place = |expected: Expected, engine: &PoolEngine, hand_over: f64| {
+        let with_decode_wait = |expected: FirstEventEstimate, engine: &PoolEngine, handoff_seconds: f64| {
             let state = self.engines.get(&engine.id);
             let queue_wait = speeds.queue_wait(state.is_some_and(|state| state.has_free_slot(now)));
-            Expected {
-                seconds: expected.seconds + hand_over + queue_wait,
-                queue: expected.queue + queue_wait,
+            FirstEventEstimate {
+                seconds: expected.seconds + handoff_seconds + queue_wait,
+                queue_seconds: expected.queue_seconds + queue_wait,
                 ..expected
             }
         };
         let expected = match &route {
-            PoolRoute::Split { prefill, decode } => tokens_until_prefilled(prefill, &speeds.prefill)
-                .map(|read| with_place(read, decode, speeds.handoff_seconds)),
-            PoolRoute::Whole(engine) if query.prompt.is_some() => {
-                tokens_until_prefilled(engine, &speeds.decode).map(|read| with_place(read, engine, 0.0))
-            }
+            PoolRoute::Split { prefill, decode } => prefill_estimate(prefill, &speeds.prefill)
+                .map(|estimate| with_decode_wait(estimate, decode, speeds.handoff_seconds)),
+            PoolRoute::Whole(engine) if query.prompt.is_some() => prefill_estimate(engine, &speeds.decode)
+                .map(|estimate| with_decode_wait(estimate, engine, 0.0)),
             PoolRoute::Whole(_) | PoolRoute::Nowhere => None,
         };
         (route, expected)
     }
 
-    /// Takes a decision that was carried out; the charge of the request's tenant, where it has one.
+    /// Records a decision that was applied. Returns the charge to the tenant of the request, if it has one.
     pub fn on_admission(
         &mut self,
         query: &PoolQuery<'_>,
@@ -315,14 +333,14 @@
         settings: &PoolAdmission,
         now: MonotonicTime,
     ) -> Option<Charge> {
-        let assumed = self.assumed_speeds();
-        let speeds = self.speeds.entry(query.pool.clone()).or_insert(assumed);
-        let is_turned_away = decision.admission != Admission::InTime;
+        let default_speeds = self.assumed_speeds();
+        let speeds = self.speeds.entry(query.pool.clone()).or_insert(default_speeds);
+        let is_late_or_refused = decision.admission != Admission::InTime;
         speeds
             .rejection_rate
-            .observe(is_turned_away && decision.misses_target);
+            .observe(is_late_or_refused && decision.misses_target);
         if matches!(decision.admission, Admission::Refused { .. }) {
-            // What it would have had to have read is wanted all the same.
+            // Refused prompts count towards the demand for prefill.
             let tokens = query.prompt.map_or(0, |prompt| prompt.tokens);
             let held = self.context(query, now).most_held.min(tokens);
             self.demand.on_sent(f64::from(tokens - held), now);
@@ -332,8 +350,8 @@
         if tenant.is_none() && !sharing.kinds {
             return None;
         }
-        if let Some(part) = decision.queue_share {
-            self.sharing.on_queue(query.pool, part, sharing, now);
+        if let Some(queue_share) = decision.queue_share {
+            self.sharing.on_queue(query.pool, queue_share, sharing, now);
         }
         let is_admitted = decision.admission == Admission::InTime;
         if sharing.kinds && !is_admitted && !timing.is_retry {
@@ -350,10 +368,10 @@
         Some(self.sharing.on_request(query.pool, request, sharing, now))
     }
 
-    /// Takes how long the first event of a request that was to be in time took beside what was expected.
+    /// Records the estimated and the actual time until the first event of a request admitted in time.
     pub fn on_first_event(&mut self, query: &PoolQuery<'_>, expected: Duration, took: Duration) {
-        let assumed = self.assumed_speeds();
-        let speeds = self.speeds.entry(query.pool.clone()).or_insert(assumed);
+        let default_speeds = self.assumed_speeds();
+        let speeds = self.speeds.entry(query.pool.clone()).or_insert(default_speeds);
         speeds.error.observe(expected, took);
     }
 }
--- a/crates/core/src/routing/pool/cordons.rs
+++ b/crates/core/src/routing/pool/cordons.rs
@@ -1,4 +1,4 @@
-//! Engines that operators have cordoned, and why an engine is left alone.
+//! Cordons set by operators, and the reasons why an engine gets no new work.
 
 use super::engine::{EngineStage, EngineState};
 use super::router::PoolRouter;
@@ -7,47 +7,47 @@
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// A cordon on this process's clock.
+/// A cordon in force, with its expiry on the monotonic clock of this process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ActiveCordon {
-    /// What is left alone.
+    /// Engine, pool or zone that the cordon covers.
     pub target: CordonTarget,
-    /// Until when.
+    /// Time at which the cordon expires.
     pub until: MonotonicTime,
-    /// Whether the engines are left alone even where no other can take a request.
+    /// Whether covered engines get no requests even if no other engine can take them.
     pub forced: bool,
 }
 
-/// How the cordons that cover one engine bear on it.
+/// Combined effect of all cordons that cover one engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct EngineCordon {
-    /// End of the last of them.
+    /// Latest expiry of any cordon.
     pub(super) until: MonotonicTime,
-    /// End of the last forced one.
+    /// Latest expiry of a forced cordon.
     pub(super) forced_until: MonotonicTime,
 }
 
-/// Why an engine gets no new work, the first cause that holds.
+/// Why an engine gets no new work. If several reasons apply, the first in this order is reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AvoidanceReason {
-    /// The platform lists it no longer, and there is no doubt that it has ended.
+    /// The engine has ended: the platform no longer lists it, or a later start replaced it.
     Gone,
-    /// It is about to leave.
+    /// The engine is about to shut down.
     Leaving,
-    /// It has been ordered to take another stage.
+    /// The engine was ordered to change to this stage.
     ChangingStage(EngineStage),
-    /// An operator has cordoned it, for so long still.
+    /// An operator cordoned the engine.
     Cordoned {
-        /// Time until it lifts itself.
+        /// Time until the last cordon expires.
         remaining: Duration,
-        /// Whether it gets nothing even where no other can take a request.
+        /// Whether the engine gets no requests even if no other engine can take them.
         forced: bool,
     },
-    /// Its zone was seen to take spot engines back a moment ago.
+    /// The engine is a spot instance and its zone recently reclaimed other spot instances.
     ZoneReclaimed,
-    /// It broke or refused work, for so long still.
+    /// The engine recently failed, did not answer or refused work.
     Paused {
-        /// Time until it is tried again.
+        /// Time until the engine gets requests again.
         remaining: Duration,
     },
 }
@@ -57,13 +57,13 @@
         self.cordon.forced_until > now
     }
 
-    /// Whether a cordon lets work come here, where no other engine can take it if `last_resort`.
+    /// Whether cordons allow new work; as a `last_resort`, only forced cordons exclude the engine.
     pub(super) fn cordon_allows(&self, now: MonotonicTime, last_resort: bool) -> bool {
         let is_free = self.cordon.until <= now;
         is_free || (last_resort && !self.is_cordoned_by_force(now))
     }
 
-    /// Why it gets no new work; absent where it does.
+    /// Why the engine gets no new work; absent if it does get work.
     pub fn avoidance_reason(&self, now: MonotonicTime) -> Option<AvoidanceReason> {
         if self.has_ended(now) {
             return Some(AvoidanceReason::Gone);
@@ -90,22 +90,22 @@
 }
 
 impl PoolRouter {
-    /// Takes all cordons that are in force, in place of those before.
+    /// Replaces the active cordons.
     pub fn on_cordons(&mut self, cordons: Vec<ActiveCordon>) {
         self.cordons = cordons;
         for state in self.engines.values_mut() {
-            state.cordon = of_all(&self.cordons, state);
+            state.cordon = combine_cordons(&self.cordons, state);
         }
     }
 
-    /// Looks whether a cordon covers an engine that was listed just now.
+    /// Applies the active cordons to a newly listed engine.
     pub(super) fn note_cordon(&mut self, engine: &EngineId) {
         if let Some(state) = self.engines.get_mut(engine) {
-            state.cordon = of_all(&self.cordons, state);
+            state.cordon = combine_cordons(&self.cordons, state);
         }
     }
 
-    /// Every engine that is listed and stays.
+    /// Engines that are listed and not about to leave, including the reserve.
     pub fn standings(&self) -> Vec<EngineStanding> {
         let staying = self.engines.values().filter(|state| state.stays());
         let staying = staying.map(|state| &state.engine).chain(self.reserve());
@@ -120,18 +120,18 @@
     }
 }
 
-/// All cordons that cover an engine, taken together.
-fn of_all(cordons: &[ActiveCordon], state: &EngineState) -> EngineCordon {
+/// Combines all cordons that cover an engine.
+fn combine_cordons(cordons: &[ActiveCordon], state: &EngineState) -> EngineCordon {
     let engine = &state.engine;
     let covering = cordons
         .iter()
         .filter(|cordon| cordon.target.covers(&engine.id, &engine.pool, &engine.zone));
-    let mut sum = EngineCordon::default();
+    let mut combined = EngineCordon::default();
     for cordon in covering {
-        sum.until = sum.until.max(cordon.until);
+        combined.until = combined.until.max(cordon.until);
         if cordon.forced {
-            sum.forced_until = sum.forced_until.max(cordon.until);
+            combined.forced_until = combined.forced_until.max(cordon.until);
         }
     }
-    sum
+    combined
 }
--- a/crates/core/src/routing/pool/cost.rs
+++ b/crates/core/src/routing/pool/cost.rs
@@ -202,7 +202,7 @@
             event_interval_seconds: self.speeds.pace.seconds(),
             prefill: self.speeds.decode,
             work_factor: state.work_factor(self.now),
-            recent_prefill: state.recent_prefill.tokens(self.now),
+            recent_prefill_tokens: state.recent_prefill.tokens(self.now),
         };
         let (computed, beside) = match reads {
             Some(computed) => (computed, work.prompt_tokens_behind(query.rank)),
--- a/crates/core/src/routing/pool/ended_starts.rs
+++ b/crates/core/src/routing/pool/ended_starts.rs
@@ -1,24 +1,24 @@
-//! The latest starts of engines that are listed no longer.
+//! Latest starts of engines that are no longer listed.
 
 use crate::identity::{EngineId, EngineStart};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Most names that are kept. A row of an earlier start comes within seconds of the end of a later one, and fleets of the
-/// target size list a few hundred names.
-const MOST_KEPT: usize = 1_024;
+/// Maximum number of remembered engine names. Outdated updates arrive within seconds, and a fleet lists a few hundred
+/// names.
+const MAX_NAMES: usize = 1_024;
 
-/// The latest start of each name that is listed no longer, so that a late word of an earlier one is known as such. Only
-/// starts that the platform told.
+/// Remembers the latest start of each engine name that is no longer listed, so that a delayed update about an earlier
+/// start is recognized as outdated. Contains only starts that the platform reported.
 #[derive(Clone, Debug, Default)]
 pub(super) struct EndedStarts {
     starts: BTreeMap<String, EngineStart>,
-    /// The names, the one noted first in front.
+    /// Engine names in order of insertion, oldest first.
     order: VecDeque<String>,
 }
 
 impl EndedStarts {
-    /// Notes that a start has ended.
-    pub(super) fn note(&mut self, engine: &EngineId) {
+    /// Records the end of an engine start; ignores an engine without a known start.
+    pub(super) fn record(&mut self, engine: &EngineId) {
         if engine.start() == EngineStart::default() {
             return;
         }
@@ -27,21 +27,21 @@
         if self.starts.insert(name.to_owned(), latest).is_none() {
             self.order.push_back(name.to_owned());
         }
-        if self.order.len() > MOST_KEPT
-            && let Some(first) = self.order.pop_front()
+        if self.order.len() > MAX_NAMES
+            && let Some(oldest) = self.order.pop_front()
         {
-            self.starts.remove(&first);
+            self.starts.remove(&oldest);
         }
     }
 
-    /// Forgets a name, of which a start is listed again.
+    /// Removes a name of which a start is listed again.
     pub(super) fn forget(&mut self, name: &str) {
         if self.starts.remove(name).is_some() {
-            self.order.retain(|kept| kept != name);
+            self.order.retain(|other| other != name);
         }
     }
 
-    /// The latest start that was noted of a name; zero where none was.
+    /// The latest recorded start of a name; zero if there is none.
     pub(super) fn latest(&self, name: &str) -> EngineStart {
         self.starts.get(name).copied().unwrap_or_default()
     }
--- a/crates/core/src/routing/pool/limits.rs
+++ b/crates/core/src/routing/pool/limits.rs
@@ -1,4 +1,4 @@
-//! The rate limits that engines name, and what they leave of an engine.
+//! Rate limits reported by engines, and their effect on the choice of an engine.
 
 use super::engine::{EngineStage, EngineState};
 use super::router::PoolRouter;
@@ -9,13 +9,13 @@
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// Time for which a node goes on sending of a limit that an answer to it has named.
+/// Time for which a node keeps notifying its peers of a limit after an answer to the node reported that limit.
 const OWN_LIMIT_NOTICE_DURATION: Duration = Duration::from_secs(2);
 
-/// Time in which a change of the rate of requests shows by two thirds.
-const RATE_WINDOW: Duration = Duration::from_secs(5);
+/// Time constant of the exponential decay of the request rate.
+const RATE_TIME_CONSTANT: Duration = Duration::from_secs(5);
 
-/// Requests that were sent to engines of one pool and stage, fading.
+/// Exponentially decaying count of requests sent to the engines of one pool and stage.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SentRate {
     requests: f64,
@@ -29,21 +29,21 @@
     }
 
     fn requests_now(&self, now: MonotonicTime) -> f64 {
-        self.requests * (-now.since(self.at).as_secs_f64() / RATE_WINDOW.as_secs_f64()).exp()
+        self.requests * (-now.since(self.at).as_secs_f64() / RATE_TIME_CONSTANT.as_secs_f64()).exp()
     }
 
     fn per_second(&self, now: MonotonicTime) -> f64 {
-        self.requests_now(now) / RATE_WINDOW.as_secs_f64()
+        self.requests_now(now) / RATE_TIME_CONSTANT.as_secs_f64()
     }
 }
 
 impl EngineState {
-    /// The rate limit that it names, as far as is known.
+    /// The last known rate limit of the engine.
     pub fn rate_limit(&self) -> Option<RateLimit> {
         self.limit.limit()
     }
 
-    /// Least time until a request may be sent there for its rate limit.
+    /// Minimum time until the rate limit allows another request.
     pub fn slot_wait(&self, now: MonotonicTime) -> Duration {
         self.limit.slot_wait(now)
     }
@@ -52,7 +52,7 @@
         self.slot_wait(now) <= max_wait
     }
 
-    /// Its limit as other nodes are told; absent where there is nothing to tell.
+    /// Notice of the limit for other nodes; absent if no limit is to be published.
     pub fn limit_notice(&self, now: MonotonicTime) -> Option<LimitNotice> {
         let (limit, age) = self.limit.told(now)?;
         Some(LimitNotice {
@@ -65,21 +65,21 @@
 }
 
 impl PoolRouter {
-    /// Takes what the answer to a request sent at `sent_at` says of its engine's limit.
+    /// Updates the limit of an engine from its answer to a request sent at `sent_at`.
     pub fn on_answered_limit(
         &mut self,
         engine: &EngineId,
-        said: &AnsweredLimit,
+        answered_limit: &AnsweredLimit,
         sent_at: MonotonicTime,
         now: MonotonicTime,
     ) -> LimitChange {
         let state = self.engines.get_mut(engine);
         state.map_or(LimitChange::Nothing, |state| {
-            state.limit.on_answer(said, sent_at, now)
+            state.limit.on_answer(answered_limit, sent_at, now)
         })
     }
 
-    /// Takes another node's notice of a limit; the engine, where the notice has changed what is believed of it.
+    /// Applies a limit notice from another node. Returns the engine if the notice changed its known limit.
     pub fn on_limit_notice(&mut self, notice: &LimitNotice, now: MonotonicTime) -> Option<&EngineState> {
         let state = self.state_of(notice.engine)?;
         let age = Duration::from_millis(u64::from(notice.age_millis));
@@ -91,37 +91,39 @@
         (change == LimitChange::Limit).then_some(&*state)
     }
 
-    /// Notes how long the next slot of an engine is away.
+    /// Records the time until the next request slot of an engine.
     pub fn note_slot(&mut self, engine: SubjectHandle, wait: Duration, now: MonotonicTime) {
         if let Some(state) = self.state_of(engine) {
             state.limit.note_slot(wait, now);
         }
     }
 
-    /// Engines that name a limit and are listed.
+    /// Listed engines with a known rate limit.
     pub fn rate_limited_engines(&self) -> impl Iterator<Item = &EngineState> {
         self.engines
             .values()
             .filter(|state| state.is_listed() && state.rate_limit().is_some())
     }
 
-    /// What other nodes are told of limits; of those that an answer to this node named, or of all.
+    /// Limit notices for other nodes: of all listed engines, or if `observed_here`, only of limits that a recent answer
+    /// to this node reported.
     pub fn limit_notices(&self, observed_here: bool, now: MonotonicTime) -> Vec<LimitNotice> {
-        let named = self
+        let selected = self
             .engines
             .values()
             .filter(|state| state.is_listed())
             .filter(|state| !observed_here || state.limit.is_named_here(OWN_LIMIT_NOTICE_DURATION, now));
-        named.filter_map(|state| state.limit_notice(now)).collect()
+        selected.filter_map(|state| state.limit_notice(now)).collect()
     }
 
-    /// Counts a request that is sent to an engine.
+    /// Adds a request to the rate of its pool and stage.
     pub(super) fn count_sent(&mut self, pool: &PoolId, stage: EngineStage, now: MonotonicTime) {
         let key = (pool.clone(), stage);
         self.sent_rates.entry(key).or_default().on_sent(now);
     }
 
-    /// Part of what falls to an engine, of the requests of all nodes to engines of its stage, that its limit lets through.
+    /// Fraction of the expected request rate of an engine that its limit allows, at most one. The expected rate is the
+    /// rate of all nodes to its pool and stage, divided evenly among the engines that stay.
     pub(super) fn share_within_limit(&self, state: &EngineState, now: MonotonicTime) -> f64 {
         let Some(limit) = state.rate_limit() else {
             return 1.0;
@@ -129,16 +131,16 @@
         let stage = state.engine.stage;
         let pool = &state.engine.pool;
         let rate = self.sent_rates.get(&(pool.clone(), stage));
-        let own = rate.map_or(0.0, |rate| rate.per_second(now));
-        let alike = self
+        let own_rate = rate.map_or(0.0, |rate| rate.per_second(now));
+        let same_stage = self
             .engines
             .values()
             .filter(|other| other.engine.pool == *pool && other.engine.stage == stage && other.stays());
-        let falls_to_one = own * self.demand.all_to_own(now) / alike.count().max(1) as f64;
-        if falls_to_one <= 0.0 {
+        let rate_per_engine = own_rate * self.demand.all_to_own(now) / same_stage.count().max(1) as f64;
+        if rate_per_engine <= 0.0 {
             return 1.0;
         }
-        (limit.requests_per_second() / falls_to_one).min(1.0)
+        (limit.requests_per_second() / rate_per_engine).min(1.0)
     }
 }
 
--- a/crates/core/src/routing/pool/listing.rs
+++ b/crates/core/src/routing/pool/listing.rs
@@ -278,7 +278,7 @@
             return Vec::new();
         }
         self.unreadable.remove(name);
-        self.ended.note(engine);
+        self.ended.record(engine);
         self.end(name).map(ListChange::Gone).into_iter().collect()
     }
 
@@ -296,7 +296,7 @@
     /// Takes whichever start is listed of a name off the list.
     fn end(&mut self, name: &str) -> Option<EngineId> {
         let listed = self.engines.remove(name)?;
-        self.ended.note(&listed.id);
+        self.ended.record(&listed.id);
         Some(listed.id)
     }
 }
--- a/crates/core/src/routing/pool/mod.rs
+++ b/crates/core/src/routing/pool/mod.rs
@@ -35,7 +35,7 @@
 mod router;
 mod running_stats;
 mod signals;
-mod unresponsive_engines;
+mod silences;
 mod weights;
 mod working_set;
 
@@ -62,6 +62,6 @@
 pub use router::PoolRouter;
 pub use running_stats::{EstimateError, PrefillPauses, RejectionRate};
 pub use signals::NotAccepting;
-pub use unresponsive_engines::EngineAvailabilityChange;
+pub use silences::EngineAvailabilityChange;
 pub use weights::PoolWeights;
 pub use working_set::{WorkingSetChange, WorkingSetSettings};
--- a/crates/core/src/routing/pool/paths.rs
+++ b/crates/core/src/routing/pool/paths.rs
@@ -1,17 +1,18 @@
-//! Paths between zones: whether what leaves one zone reaches the engines of another, as far as requests show.
+//! Failure detection for the network paths between zones, based on which requests are answered.
 //!
-//! A zone that is cut off by silent loss looks from outside like many engines that fall silent at once. Each is learned
-//! of alone, by a request that waits for it; other engines read prompts later because they try to fetch KV caches from
-//! there. So a path is suspected when several engines beyond it have fallen silent and none has answered since those
-//! requests were sent. Then its far side is neither chosen nor fetched from, but for a trial now and then. The first
-//! answer lets load return step by step.
+//! If packets to a zone are dropped, all its engines stop answering at once. Detecting each engine separately costs a
+//! timed out request per engine, and delays prefill at engines that try to fetch KV caches from the zone. Therefore a
+//! path becomes suspected when several engines beyond it did not answer and no answer arrived since those requests were
+//! sent. The zone beyond a suspected path gets only occasional trial requests and no KV cache is fetched from it. After
+//! the first answer, load returns gradually.
 //!
-//! Engines that are dark while their neighbours answer never make a path suspected: each answer over the path clears
-//! what spoke against it. A path is the same in both directions. Within a zone there is none.
+//! Each answer over a path clears the recorded silences, so engines that fail while others in their zone answer don't
+//! make the path suspected. A path covers both directions. There is no path within a zone.
 //!
-//! What is seen over a path counts for three: the path itself, and the paths of each of its zones to all others taken
-//! together. Where a zone is cut off from everybody, the evidence of all others is gathered three times as fast as on any
-//! one path; where only two zones are, answers from the rest keep the trust in the other paths.
+//! Each observation counts for three paths: the path between the two zones, and for each of the two zones the combined
+//! path to all other zones. If a zone is isolated, its combined path collects evidence from all other zones and is
+//! suspected sooner than any single path. If only two zones lose contact, answers from other zones keep the combined
+//! paths trusted.
 
 use crate::identity::ZoneId;
 use crate::membership::subject::SubjectHandle;
@@ -19,57 +20,55 @@
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// Engines beyond a path that must fall silent before it is suspected: two may crash together by chance.
-const SILENT_ENGINES: usize = 3;
+/// Minimum number of silent engines before a trusted path is suspected; two may crash at the same time by chance.
+const MIN_SILENT_ENGINES: usize = 3;
 
-/// The same while load returns, when there is reason to doubt.
-const SILENT_ENGINES_AGAIN: usize = 2;
+/// Minimum number of silent engines before a recovering path is suspected again.
+const MIN_SILENT_ENGINES_RECOVERING: usize = 2;
 
-/// Time within which they must: longer than requests wait for a silent engine, shorter than the time between two crashes
-/// that have nothing to do with each other.
-const WITHIN: Duration = Duration::from_millis(2_000);
+/// Time within which the silences must occur. Longer than the timeout of a request to a silent engine, and shorter than
+/// the usual time between unrelated crashes.
+const SILENCE_WINDOW: Duration = Duration::from_millis(2_000);
 
-/// Mean gaps between answers after which their absence is no chance. An answer whose time is known only as later than its
-/// sending counts as a gap of zero, so the mean is about half of the true one. Where answers come independently of each other one
-/// gap in 160,000 is as long; 8 means, one in 3,000, suspected two paths of 32 within five seconds in which every fifth
-/// engine was dark and none was cut off.
+/// Number of mean gaps without an answer after which a path counts as quiet. Smaller values cause false suspicions
+/// while many engines are down.
 const QUIET_GAPS: f64 = 12.0;
 
-/// Share of a new gap in the mean of gaps.
-const GAP_SHARE: f64 = 0.1;
+/// Weight of a new gap in the moving average of gaps.
+const GAP_WEIGHT: f64 = 0.1;
 
-/// Longest gap that is taken for one: an outage says nothing of the usual time between answers.
-const LONGEST_GAP: Duration = Duration::from_millis(500);
+/// Maximum gap in the moving average, so that an outage does not distort it.
+const MAX_GAP: Duration = Duration::from_millis(500);
 
-/// First time between two trials of a suspected path. A trial costs its caller the longest wait for a connection, 250 ms.
-const FIRST_TRIAL_AFTER: Duration = Duration::from_millis(500);
+/// Initial interval between trial requests over a suspected path.
+const INITIAL_TRIAL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Longest time between two trials: a path that works again is found out no later.
-const LONGEST_TRIAL_AFTER: Duration = Duration::from_millis(2_000);
+/// Maximum interval between trial requests over a suspected path.
+const MAX_TRIAL_INTERVAL: Duration = Duration::from_millis(2_000);
 
-/// A change of what is believed of a path.
+/// A change of the state of a path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PathChange {
-    /// One of its zones.
+    /// One end of the path.
     pub zone: ZoneId,
-    /// The other; absent: every other.
+    /// The other end; absent for the combined path to all other zones.
     pub other_zone: Option<ZoneId>,
-    /// What is believed now.
+    /// The new state.
     pub state: PathState,
-    /// Engines that fell silent since the last answer.
+    /// Number of engines that did not answer since the last answer.
     pub silent_engines: usize,
-    /// Time since the belief before, or since the last answer where a path has become suspected.
+    /// Time spent in the previous state; for a path that became suspected, time since the last answer.
     pub elapsed: Duration,
 }
 
-/// What is believed of a path.
+/// State of a path as inferred from answers and timeouts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PathState {
-    /// What is sent arrives.
+    /// Requests are answered.
     Trusted,
-    /// Nothing seems to arrive.
+    /// The path seems to be interrupted.
     Suspected,
-    /// An answer has come; load returns.
+    /// An answer arrived over a suspected path; load returns gradually.
     Recovering,
 }
 
@@ -90,18 +89,18 @@
     Suspected {
         since: MonotonicTime,
         next_trial_at: MonotonicTime,
-        trial_after: Duration,
+        trial_interval: Duration,
     },
     Recovering {
         returning: Returning,
     },
 }
 
-/// An engine that did not answer over a path.
+/// A request over a path that was not answered in time.
 #[derive(Clone, Debug)]
 struct Silence {
     engine: SubjectHandle,
-    /// Zone of the node that asked it.
+    /// Zone of the node that sent the request.
     from: ZoneId,
     /// Zone of the engine.
     to: ZoneId,
@@ -130,29 +129,30 @@
 #[derive(Clone, Debug)]
 struct Path {
     zone: ZoneId,
-    /// Absent: the paths to all other zones together.
+    /// Absent for the combined path to all other zones.
     other_zone: Option<ZoneId>,
-    /// When the last answer came over it, at the earliest.
+    /// Lower bound of the time of the last answer.
     answered_at: MonotonicTime,
-    /// Mean time between two answers, in seconds; absent until there were two.
+    /// Moving average of the time between two answers, in seconds; absent before the second answer.
     mean_gap: Option<f64>,
-    /// Engines that fell silent since then.
-    silent: Vec<Silence>,
+    /// Silences since the last answer, at most one per engine.
+    silences: Vec<Silence>,
     phase: Phase,
 }
 
-/// What is believed of all paths; a fleet has few zones, so they are searched one by one.
+/// States of all paths. A fleet has few zones, so lookups are linear.
 #[derive(Clone, Debug, Default)]
 pub struct Paths {
     paths: Vec<Path>,
     changes: Vec<PathChange>,
 }
 
-/// Most changes that wait to be taken.
+/// Maximum number of changes queued until the next call of [`Paths::take_changes`].
 const MAX_PENDING_CHANGES: usize = 64;
 
 impl Paths {
-    /// Notes that an engine in zone `to` did not answer a request from zone `from`; `engines` are known there.
+    /// Records that an engine in zone `to` did not answer a request from zone `from`. `engines` is the number of
+    /// engines known in zone `to`.
     pub fn record_silence(
         &mut self,
         from: &ZoneId,
@@ -162,16 +162,16 @@
         sent_at: MonotonicTime,
         now: MonotonicTime,
     ) {
-        self.learn(from, to);
+        self.add_missing(from, to);
         let silence = Silence::new(from, to, engine, sent_at, now);
-        let paths = self.paths.iter_mut().filter(|path| path.concerns(from, to));
+        let paths = self.paths.iter_mut().filter(|path| path.connects(from, to));
         let changes = paths.filter_map(|path| path.on_silence(&silence, engines, now));
         self.changes.extend(changes);
         self.changes.truncate(MAX_PENDING_CHANGES);
     }
 
-    /// The same from another placer's word. Answers are not told, so it counts only for the paths of a zone to all
-    /// others, over which this placer sees most answers of its own, and only where those have stopped.
+    /// Records a silence reported by another placer. Placers don't report answers, so the silence counts only for
+    /// combined paths, over which this placer receives most answers itself, and only if these have stopped.
     pub fn record_reported_silence(
         &mut self,
         from: &ZoneId,
@@ -181,61 +181,61 @@
         sent_at: MonotonicTime,
         now: MonotonicTime,
     ) {
-        self.learn(from, to);
+        self.add_missing(from, to);
         let silence = Silence::new(from, to, engine, sent_at, now);
-        let paths = self.paths.iter_mut().filter(|path| path.concerns(from, to));
-        let to_all = paths.filter(|path| path.other_zone.is_none() && path.has_gone_quiet(now));
-        let changes = to_all.filter_map(|path| path.on_silence(&silence, engines, now));
+        let paths = self.paths.iter_mut().filter(|path| path.connects(from, to));
+        let combined = paths.filter(|path| path.other_zone.is_none() && path.has_gone_quiet(now));
+        let changes = combined.filter_map(|path| path.on_silence(&silence, engines, now));
         self.changes.extend(changes);
         self.changes.truncate(MAX_PENDING_CHANGES);
     }
 
-    /// Notes that an answer has come from zone `to` for a request from zone `from`, at `now` or later.
+    /// Records that zone `to` answered a request from zone `from`, at `now` or later.
     pub fn record_answer(&mut self, from: &ZoneId, to: &ZoneId, now: MonotonicTime) {
-        self.learn(from, to);
-        let paths = self.paths.iter_mut().filter(|path| path.concerns(from, to));
+        self.add_missing(from, to);
+        let paths = self.paths.iter_mut().filter(|path| path.connects(from, to));
         let changes = paths.filter_map(|path| path.on_answer(now));
         self.changes.extend(changes);
         self.changes.truncate(MAX_PENDING_CHANGES);
     }
 
-    /// Notes that a request is sent: over a suspected path it is a trial, and the next one has to wait.
+    /// Records that a request is sent. Over a suspected path it is a trial and increases the interval to the next one.
     pub fn record_request(&mut self, from: &ZoneId, to: &ZoneId, now: MonotonicTime) {
-        let paths = self.paths.iter_mut().filter(|path| path.concerns(from, to));
+        let paths = self.paths.iter_mut().filter(|path| path.connects(from, to));
         paths.for_each(|path| path.on_sent(now));
     }
 
-    /// Whether a request may go from a zone to another, by a number drawn for it; one that may not be repeated is no
-    /// trial.
+    /// Whether a request may be sent from one zone to another. `draw` is a random number of the request. A request that
+    /// must not be repeated can't be a trial.
     pub fn admits(
         &self,
         from: &ZoneId,
         to: &ZoneId,
-        drawn: u64,
+        draw: u64,
         may_be_trial: bool,
         now: MonotonicTime,
     ) -> bool {
         let mut paths = self.paths.iter().filter(|path| path.phase != Phase::Trusted);
-        paths.all(|path| !path.concerns(from, to) || path.admits(drawn, may_be_trial, now))
+        paths.all(|path| !path.connects(from, to) || path.admits(draw, may_be_trial, now))
     }
 
-    /// Whether a KV cache may be moved between two zones.
+    /// Whether KV caches may be transferred between two zones: no path between them is suspected.
     pub fn allows_transfer(&self, one: &ZoneId, other: &ZoneId) -> bool {
         let mut suspected = self.paths.iter().filter(|path| path.is_suspected());
-        !suspected.any(|path| path.concerns(one, other))
+        !suspected.any(|path| path.connects(one, other))
     }
 
-    /// Changes of belief since the last call.
+    /// Takes the state changes since the last call.
     pub fn take_changes(&mut self) -> Vec<PathChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Keeps the path between two zones and those of each to all others, unless they are known.
-    fn learn(&mut self, from: &ZoneId, to: &ZoneId) {
+    /// Adds the path between two zones and their combined paths, unless present.
+    fn add_missing(&mut self, from: &ZoneId, to: &ZoneId) {
         if from == to {
             return;
         }
-        let is_known = |path: &Path| path.other_zone.is_some() && path.concerns(from, to);
+        let is_known = |path: &Path| path.other_zone.is_some() && path.connects(from, to);
         if self.paths.iter().any(is_known) {
             return;
         }
@@ -256,13 +256,13 @@
             other_zone: other_zone.cloned(),
             answered_at: MonotonicTime::default(),
             mean_gap: None,
-            silent: Vec::new(),
+            silences: Vec::new(),
             phase: Phase::Trusted,
         }
     }
 
-    /// Whether what is sent between two zones takes it.
-    fn concerns(&self, from: &ZoneId, to: &ZoneId) -> bool {
+    /// Whether requests between two zones use this path.
+    fn connects(&self, from: &ZoneId, to: &ZoneId) -> bool {
         if from == to {
             return false;
         }
@@ -276,11 +276,11 @@
         matches!(self.phase, Phase::Suspected { .. })
     }
 
-    fn admits(&self, drawn: u64, may_be_trial: bool, now: MonotonicTime) -> bool {
+    fn admits(&self, draw: u64, may_be_trial: bool, now: MonotonicTime) -> bool {
         match self.phase {
             Phase::Trusted => true,
             Phase::Suspected { next_trial_at, .. } => may_be_trial && now >= next_trial_at,
-            Phase::Recovering { returning, .. } => returning.admits(drawn, now),
+            Phase::Recovering { returning, .. } => returning.admits(draw, now),
         }
     }
 
@@ -288,37 +288,42 @@
         if self.answered_at > silence.sent_at {
             return None;
         }
-        let is_kept = |other: &Silence| other.engine != silence.engine && now.since(other.at) < WITHIN;
-        self.silent.retain(is_kept);
-        self.silent.push(silence.clone());
+        let is_recent =
+            |other: &Silence| other.engine != silence.engine && now.since(other.at) < SILENCE_WINDOW;
+        self.silences.retain(is_recent);
+        self.silences.push(silence.clone());
         let needed = match self.phase {
             Phase::Suspected { .. } => return None,
-            Phase::Recovering { .. } => SILENT_ENGINES_AGAIN,
-            Phase::Trusted => SILENT_ENGINES.min(engines.max(SILENT_ENGINES_AGAIN)),
+            Phase::Recovering { .. } => MIN_SILENT_ENGINES_RECOVERING,
+            Phase::Trusted => MIN_SILENT_ENGINES.min(engines.max(MIN_SILENT_ENGINES_RECOVERING)),
         };
-        if self.silent.len() < needed || !self.is_seen_from_enough_zones() {
+        if self.silences.len() < needed || !self.has_silences_of_enough_zones() {
             return None;
         }
         self.phase = Phase::Suspected {
             since: now,
-            next_trial_at: now + FIRST_TRIAL_AFTER,
-            trial_after: FIRST_TRIAL_AFTER,
+            next_trial_at: now + INITIAL_TRIAL_INTERVAL,
+            trial_interval: INITIAL_TRIAL_INTERVAL,
         };
         Some(self.change(PathState::Suspected, now.since(self.answered_at)))
     }
 
-    /// Whether the paths to all others failed towards more than one of them: otherwise it may be that one which is cut
-    /// off.
-    fn is_seen_from_enough_zones(&self) -> bool {
-        let far = |silence: &Silence| {
+    /// For a combined path, whether the silences involve more than one other zone. Otherwise the other zone may be the
+    /// one that is isolated.
+    fn has_silences_of_enough_zones(&self) -> bool {
+        let remote_zone = |silence: &Silence| {
             if silence.from == self.zone {
                 silence.to.clone()
             } else {
                 silence.from.clone()
             }
         };
-        let first = self.silent.first().map(far);
-        self.other_zone.is_some() || self.silent.iter().any(|silence| Some(far(silence)) != first)
+        let first = self.silences.first().map(remote_zone);
+        self.other_zone.is_some()
+            || self
+                .silences
+                .iter()
+                .any(|silence| Some(remote_zone(silence)) != first)
     }
 
     fn on_answer(&mut self, now: MonotonicTime) -> Option<PathChange> {
@@ -336,7 +341,7 @@
             }
             _ => None,
         };
-        self.silent.clear();
+        self.silences.clear();
         change
     }
 
@@ -344,26 +349,27 @@
         if self.answered_at == MonotonicTime::default() {
             return;
         }
-        let gap = now.since(self.answered_at).min(LONGEST_GAP).as_secs_f64();
+        let gap = now.since(self.answered_at).min(MAX_GAP).as_secs_f64();
         let mean = self.mean_gap.unwrap_or(gap);
-        self.mean_gap = Some(mean + GAP_SHARE * (gap - mean));
+        self.mean_gap = Some(mean + GAP_WEIGHT * (gap - mean));
     }
 
-    /// Whether answers have stayed away for so long that it is no chance.
+    /// Whether there has been no answer for much longer than the mean gap.
     fn has_gone_quiet(&self, now: MonotonicTime) -> bool {
-        let quiet = now.since(self.answered_at).as_secs_f64();
-        self.mean_gap.is_some_and(|mean| quiet >= mean * QUIET_GAPS)
+        let quiet_seconds = now.since(self.answered_at).as_secs_f64();
+        self.mean_gap
+            .is_some_and(|mean| quiet_seconds >= mean * QUIET_GAPS)
     }
 
     fn on_sent(&mut self, now: MonotonicTime) {
         if let Phase::Suspected {
             next_trial_at,
-            trial_after,
+            trial_interval,
             ..
         } = &mut self.phase
         {
-            *trial_after = (*trial_after * 2).min(LONGEST_TRIAL_AFTER);
-            *next_trial_at = now + *trial_after;
+            *trial_interval = (*trial_interval * 2).min(MAX_TRIAL_INTERVAL);
+            *next_trial_at = now + *trial_interval;
         }
     }
 
@@ -372,7 +378,7 @@
             zone: self.zone.clone(),
             other_zone: self.other_zone.clone(),
             state,
-            silent_engines: self.silent.len(),
+            silent_engines: self.silences.len(),
             elapsed,
         }
     }
--- a/crates/core/src/routing/pool/pauses.rs
+++ b/crates/core/src/routing/pool/pauses.rs
@@ -1,72 +1,74 @@
-//! Pauses between the events of streams, before they happen: what a choice of an engine brings to the streams there,
-//! and what the new stream meets.
+//! Forecast of the pauses between the events of streams: how the choice of an engine affects the streams that run there
+//! and the new stream.
 //!
-//! A route may name the longest pause that is harmless, its bound. An engine that runs outputs reads prompts in pieces
-//! between the steps of the outputs, so that all of them wait; a slow engine takes longer for each event by itself.
+//! A route may set a bound, the longest pause that its clients tolerate. A decode engine prefills prompts in chunks
+//! between decode steps, which delays every stream on it; on a slow engine each step itself takes longer.
 //!
 //! ```text
-//! pause at e, t  = work factor of e * (event + (t > 0: fixed part of a reading + t * seconds to read a token here))
-//! share late p/b = (p / b)^4 / (1 + (p / b)^4)             (0.06 at half the bound, 0.5 at it, 0.94 at twice of it)
+//! pause(e, t)          = work factor of e * (event interval + (t > 0: overhead + t * prefill seconds per token))
+//! late probability     = (pause / bound)^4 / (1 + (pause / bound)^4)     (0.06 at half the bound, 0.5 at it)
 //!
-//! made late at e = streams at e * room apart * (share late (pause at e, new prompt read too) - share late (pause at e))
-//! room apart     = 1 - share late (shortest wait at an engine that reads prompts)
-//! own lateness   = share late (pause at e by the prompts that are read once this request's own has been)
-//! cost           = w.pause_seconds * (made late at e + own lateness)
+//! added late streams   = streams at e * prefill headroom * (late probability with the new prompt - without it)
+//! prefill headroom     = 1 - late probability (shortest wait at a prefill engine)
+//! own late probability = late probability (pause caused by prompts that are prefilled after the own prompt)
+//! cost                 = w.pause_seconds * (added late streams + own late probability)
 //! ```
 //!
-//! `t` are prompt tokens to read at the engine, but no fewer than it had to read at once of late, which fades in half a
-//! second: a stream lasts longer than a reading, so what matters to it is who reads by and by. So readings come together
-//! at few engines, and new streams keep away from these. `event` is the time between events that was seen where nothing was
-//! read. Streams are the outputs that have kept to their bound so far; the shortest bound of any of them counts.
+//! `t` is the number of prompt tokens waiting for prefill at the engine, or its recent peak if that is larger. The peak
+//! decays within half a second. A stream outlasts a single prefill, so the recent peak tells it more than the current
+//! queue. As a result, prefill concentrates on few decode engines and new streams avoid these. `event interval` is the
+//! time between events without concurrent prefill. Only streams that have kept to their bound count, with the shortest
+//! bound among them.
 //!
-//! The share grows steeply where a pause nears the bound and ends at one, so a request always finds a place: where every
-//! engine breaks a bound, the reading goes where it breaks the fewest. Who is displaced: a stream that has paused too
-//! long is late for good and is not spared any more, at the cost of those that still keep their pace. Streams count alike
-//! whatever their route and rank: a rank says who goes first, and an engine that reads makes all outputs wait.
+//! The late probability rises steeply near the bound and is at most one, so a request is always placed: if every engine
+//! exceeds a bound, the prompt goes where it delays the fewest streams. A stream that has already exceeded its bound is
+//! not protected any more. All streams have equal weight, whatever their route and rank, since prefill delays all of
+//! them.
 //!
-//! A reading apart, at an engine without outputs, costs no pause, but makes others wait for their first event. So pauses
-//! count by the room there: where prompts wait for long to be read apart, sparing streams only makes other requests late
-//! (in virtual time, 460 requests a second before 31 engines that read and 59 that run outputs: 0.146 of the streams come
-//! late by either with regard to the room, 0.152 without, 0.199 with pauses left alone; `docs/design/stream-pauses.md`).
+//! Prefill on a separate engine delays no stream, but makes other prompts wait for their first event. Pauses therefore
+//! weigh less when the prefill engines are busy: protecting streams would then only make other requests late. See
+//! `docs/design/stream-pauses.md`.
 
 use super::engine::EngineLoad;
 use super::prefill_speed::{LARGEST_FACTOR, PrefillSpeed};
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// Share of a new observation in the time between events.
-const PACE_SHARE: f64 = 0.05;
+/// Weight of a new observation in the moving average of the event interval.
+const EVENT_INTERVAL_WEIGHT: f64 = 0.05;
 
-/// Shortest time that the running mean is limited from, in seconds: a millisecond is what a clock and a network blur.
-const LEAST_PACE_SECONDS: f64 = 0.001;
+/// Minimum average from which the outlier limit is computed, in seconds. Shorter intervals are within clock and network
+/// jitter.
+const MIN_EVENT_INTERVAL_SECONDS: f64 = 0.001;
 
-/// Time between two events of an output where nothing is read beside it, at an engine of usual speed.
+/// Moving average of the time between two events of a stream without concurrent prefill, normalized to an engine of
+/// average speed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EventInterval {
     seconds: Option<f64>,
 }
 
 impl EventInterval {
-    /// The time, in seconds; zero until one was seen.
+    /// The average in seconds; zero before the first observation.
     pub fn seconds(&self) -> f64 {
         self.seconds.unwrap_or_default()
     }
 
-    /// Takes one pause, in seconds at an engine of usual speed.
+    /// Adds an observed interval, in seconds, normalized to an engine of average speed. Outliers are limited.
     pub fn observe(&mut self, seconds: f64) {
         let Some(mean) = self.seconds else {
             self.seconds = Some(seconds);
             return;
         };
-        let most = mean.max(LEAST_PACE_SECONDS) * LARGEST_FACTOR;
-        self.seconds = Some(mean + PACE_SHARE * (seconds.min(most) - mean));
+        let max_seconds = mean.max(MIN_EVENT_INTERVAL_SECONDS) * LARGEST_FACTOR;
+        self.seconds = Some(mean + EVENT_INTERVAL_WEIGHT * (seconds.min(max_seconds) - mean));
     }
 }
 
-/// Time in which what was read of late fades to a third; a stream of some ten events lasts about as long.
-const RECENT: Duration = Duration::from_millis(500);
+/// Time constant of the exponential decay of [`RecentPrefill`], about the duration of a stream with ten events.
+const DECAY_TIME_CONSTANT: Duration = Duration::from_millis(500);
 
-/// Most prompt tokens that an engine had to read at once of late: what is read there by and by.
+/// Recent peak of the prompt tokens waiting for prefill at an engine, with exponential decay.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RecentPrefill {
     tokens: f64,
@@ -74,15 +76,15 @@
 }
 
 impl RecentPrefill {
-    /// The tokens, as far as they have not faded.
+    /// The decayed peak at `now`.
     pub fn tokens(&self, now: MonotonicTime) -> f64 {
         let Some(at) = self.at else {
             return 0.0;
         };
-        self.tokens * (-now.since(at).as_secs_f64() / RECENT.as_secs_f64()).exp()
+        self.tokens * (-now.since(at).as_secs_f64() / DECAY_TIME_CONSTANT.as_secs_f64()).exp()
     }
 
-    /// Takes what is to be read now.
+    /// Records the tokens that currently wait for prefill, unless the decayed peak is higher.
     pub fn observe(&mut self, tokens: f64, now: MonotonicTime) {
         if tokens >= self.tokens(now) {
             *self = Self {
@@ -93,33 +95,34 @@
     }
 }
 
-/// What decides the pauses at one engine.
+/// Inputs for the forecast of pauses at one engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PauseForecast {
-    /// Time between two events where nothing is read, at an engine of usual speed, in seconds.
+    /// Time between two events without concurrent prefill at an engine of average speed, in seconds.
     pub event_interval_seconds: f64,
-    /// Reading at an engine that runs outputs.
+    /// Prefill speed of a decode engine.
     pub prefill: PrefillSpeed,
-    /// Factor by which work takes longer at the engine.
+    /// Factor by which work takes longer at this engine than at an average one.
     pub work_factor: f64,
-    /// Prompt tokens that it had to read at once of late.
-    pub recent_prefill: f64,
+    /// Recent peak of the prompt tokens waiting for prefill, from [`RecentPrefill`].
+    pub recent_prefill_tokens: f64,
 }
 
 impl PauseForecast {
-    /// Longest pause to expect where so many prompt tokens are to be read now, in seconds.
+    /// Longest expected pause, in seconds, while `prompt_tokens` wait for prefill.
     pub fn pause(&self, prompt_tokens: f64) -> f64 {
-        let tokens = prompt_tokens.max(self.recent_prefill);
-        let reading = if tokens > 0.0 {
+        let tokens = prompt_tokens.max(self.recent_prefill_tokens);
+        let prefill_seconds = if tokens > 0.0 {
             self.prefill.seconds(tokens)
         } else {
             0.0
         };
-        self.work_factor * (self.event_interval_seconds + reading)
+        self.work_factor * (self.event_interval_seconds + prefill_seconds)
     }
 
-    /// How many streams at the engine come late by a pause because it reads so many tokens more, as far as the reading
-    /// could be done apart: `min_prefill_wait` is the shortest time until it would begin there, in seconds.
+    /// Expected number of additional streams at the engine that exceed their bound if `prompt_tokens` more are
+    /// prefilled there. Weighted by the headroom of the prefill engines; `min_prefill_wait` is their shortest queueing
+    /// time in seconds, and without it the weight is one.
     pub fn added_late_streams(
         &self,
         work: &EngineLoad,
@@ -132,24 +135,23 @@
         let now = work.all_prompt_tokens();
         let before = late_probability(self.pause(now), bound);
         let after = late_probability(self.pause(now + prompt_tokens), bound);
-        let room = min_prefill_wait.map_or(1.0, |wait| 1.0 - late_probability(wait, bound));
-        work.streams * room * (after - before)
+        let headroom = min_prefill_wait.map_or(1.0, |wait| 1.0 - late_probability(wait, bound));
+        work.streams * headroom * (after - before)
     }
 
-    /// How sure a new stream is to come late by a pause, from zero to one.
-    ///
-    /// `prompt_tokens` are those that are read beside it.
+    /// Probability that a new stream exceeds its bound while `prompt_tokens` of other prompts are prefilled; zero
+    /// without a bound.
     pub fn own_late_probability(&self, prompt_tokens: f64, bound: Option<Duration>) -> f64 {
         bound.map_or(0.0, |bound| late_probability(self.pause(prompt_tokens), bound))
     }
 }
 
-/// Share of the streams that are late by a pause, given the one that is expected, in seconds, and the bound.
+/// Probability that a stream exceeds its bound, given the expected pause in seconds.
 pub fn late_probability(pause: f64, bound: Duration) -> f64 {
-    let part = pause / bound.as_secs_f64().max(f64::MIN_POSITIVE);
-    let steep = part.powi(4);
-    if steep.is_finite() {
-        steep / (1.0 + steep)
+    let ratio = pause / bound.as_secs_f64().max(f64::MIN_POSITIVE);
+    let power = ratio.powi(4);
+    if power.is_finite() {
+        power / (1.0 + power)
     } else {
         1.0
     }
--- a/crates/core/src/routing/pool/router.rs
+++ b/crates/core/src/routing/pool/router.rs
@@ -8,7 +8,7 @@
 use super::pace::{PaceChange, PoolPace};
 use super::paths::Paths;
 use super::pool_speeds::PoolSpeeds;
-use super::unresponsive_engines::{EngineAvailabilityChange, PendingSilence};
+use super::silences::{EngineAvailabilityChange, PendingSilence};
 use super::weights::PoolWeights;
 use super::working_set::WorkingSet;
 use crate::engine_signals::SignalRegister;
--- a/crates/core/src/routing/pool/unresponsive_engines.rs
+++ b/crates/core/src/routing/pool/silences.rs
@@ -1,7 +1,7 @@
-//! Engines that fell silent: what this node's requests show, and what other placers tell of theirs.
+//! Silences: requests that engines did not answer in time, observed by this node or reported by other placers.
 //!
-//! One placer of a large fleet sees an eighth of the requests. Until each had learned of every silent engine and path by
-//! itself, eight times as many requests waited for them.
+//! Placers share these observations because each of them sees only a fraction of the requests. Without the reports,
+//! every placer would have to let requests time out before it avoids an engine.
 
 use super::beliefs::SilenceWord;
 use super::dispatches::PoolTicket;
@@ -12,33 +12,34 @@
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// Most silences that wait to be told; more within one round of messages tell nothing new.
+/// Maximum number of silences queued for the next message to other placers.
 const MAX_PENDING_SILENCES: usize = 16;
 
-/// A silence that has not been told yet.
+/// A silence that has not been reported to other placers yet.
 #[derive(Clone, Debug)]
 pub(super) struct PendingSilence {
     engine: SubjectHandle,
+    /// Zone of the node that sent the request.
     from: ZoneId,
     sent_at: MonotonicTime,
 }
 
-/// An engine that is left alone because it said nothing, or that is used again.
+/// An engine that is avoided because it did not answer, or that gets requests again.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineAvailabilityChange {
-    /// The engine.
+    /// Start of the engine to which the change applies.
     pub engine: EngineId,
-    /// For how long it is left alone; absent where load returns because it has answered somebody.
+    /// Time for which the engine is avoided; absent if it answered a request and load returns.
     pub pause: Option<Duration>,
-    /// Whether another node told.
+    /// Whether the change results from a report of another node.
     pub from_peer: bool,
 }
 
-/// Most changes that wait to be taken.
+/// Maximum number of changes queued until the next call of [`PoolRouter::take_availability_changes`].
 const MAX_PENDING_CHANGES: usize = 64;
 
 impl PoolRouter {
-    /// Notes that an engine said nothing for too long, or that no connection to it could be made in time.
+    /// Records that an engine did not answer a request, or accept a connection, within its timeout.
     pub fn on_silence(&mut self, ticket: &PoolTicket, now: MonotonicTime) {
         let Some(state) = self.engines.get_mut(ticket.engine()) else {
             return;
@@ -65,25 +66,30 @@
             .record_silence(from, &zone, engine, engines, work.sent_at, now);
     }
 
-    /// Takes another placer's word of engines that fell silent. What nobody has heard since the request was sent is left
-    /// alone for a moment where `leaves_alone`, unless the path to it is what is suspected.
-    pub fn on_peer_silence_reports(&mut self, words: &[SilenceWord], leaves_alone: bool, now: MonotonicTime) {
-        for word in words {
-            let sent_before = Duration::from_millis(word.sent_before_millis.into());
-            let sent_at = now.earlier(sent_before).unwrap_or_default();
-            let Some(state) = self.state_of(word.engine) else {
+    /// Applies silence reports of another placer. If `avoids_engines`, an engine that has answered nobody since the
+    /// reported request was sent is avoided for a while, unless the path to its zone is suspected.
+    pub fn on_peer_silence_reports(
+        &mut self,
+        reports: &[SilenceWord],
+        avoids_engines: bool,
+        now: MonotonicTime,
+    ) {
+        for report in reports {
+            let age = Duration::from_millis(report.sent_before_millis.into());
+            let sent_at = now.earlier(age).unwrap_or_default();
+            let Some(state) = self.state_of(report.engine) else {
                 continue;
             };
             let zone = state.engine.zone.clone();
-            let is_heard = state.last_answer_at.is_some_and(|at| at > sent_at);
+            let has_answered_since = state.last_answer_at.is_some_and(|at| at > sent_at);
             let engines = self.engines_in(&zone);
             self.paths
-                .record_reported_silence(&word.from, &zone, word.engine, engines, sent_at, now);
-            let path_works = self.paths.allows_transfer(&word.from, &zone);
-            if let Some(state) = self.state_of(word.engine)
-                && leaves_alone
-                && path_works
-                && !is_heard
+                .record_reported_silence(&report.from, &zone, report.engine, engines, sent_at, now);
+            let path_is_trusted = self.paths.allows_transfer(&report.from, &zone);
+            if let Some(state) = self.state_of(report.engine)
+                && avoids_engines
+                && path_is_trusted
+                && !has_answered_since
             {
                 let pause = state.health.silent(now);
                 let engine = state.engine.id.clone();
@@ -94,31 +100,31 @@
         }
     }
 
-    /// Silences since the last call, for other placers; at most `most`, the rest follows at the next call.
-    pub fn take_silence_reports(&mut self, most: usize, now: MonotonicTime) -> Vec<SilenceWord> {
+    /// Takes up to `max_reports` pending silences as reports for other placers; the rest stays for the next call.
+    pub fn take_silence_reports(&mut self, max_reports: usize, now: MonotonicTime) -> Vec<SilenceWord> {
         let rest = self
             .pending_silences
-            .split_off(most.min(self.pending_silences.len()));
-        let told = std::mem::replace(&mut self.pending_silences, rest);
-        let words = told.into_iter().map(|silence| SilenceWord {
+            .split_off(max_reports.min(self.pending_silences.len()));
+        let taken = std::mem::replace(&mut self.pending_silences, rest);
+        let reports = taken.into_iter().map(|silence| SilenceWord {
             engine: silence.engine,
             from: silence.from,
             sent_before_millis: u32::try_from(now.since(silence.sent_at).as_millis()).unwrap_or(u32::MAX),
         });
-        words.collect()
+        reports.collect()
     }
 
-    /// Whether there are silences to tell.
+    /// Whether silences wait to be reported to other placers.
     pub fn has_pending_silence_reports(&self) -> bool {
         !self.pending_silences.is_empty()
     }
 
-    /// Changes of what is believed of the paths between zones since the last call.
+    /// Takes the state changes of the paths between zones since the last call.
     pub fn take_path_changes(&mut self) -> Vec<PathChange> {
         self.paths.take_changes()
     }
 
-    /// Engines that were left alone or are used again since the last call.
+    /// Takes the changes of engine availability since the last call.
     pub fn take_availability_changes(&mut self) -> Vec<EngineAvailabilityChange> {
         std::mem::take(&mut self.availability_changes)
     }
--- a/crates/core/tests/pool_pauses.rs
+++ b/crates/core/tests/pool_pauses.rs
@@ -37,7 +37,7 @@
             event_interval_seconds: 0.050,
             prefill: PrefillSpeed::assumed(30_000.0),
             work_factor,
-            recent_prefill: 0.0,
+            recent_prefill_tokens: 0.0,
         }
     }
 
@@ -59,7 +59,7 @@
         assert!(after(100) > 7_000.0, "a lesser reading does not hide it");
         assert!(after(3_000) < 50.0);
         let reader = PauseForecast {
-            recent_prefill: after(100),
+            recent_prefill_tokens: after(100),
             ..forecast(1.0)
         };
         let none = EngineLoad::default();
