--- a/crates/core/src/routing/pool/cordons.rs
+++ b/crates/core/src/routing/pool/cordons.rs
@@ -84,7 +84,7 @@
             return Some(AvoidanceReason::ZoneReclaimed);
         }
         self.health
-            .paused_for(now)
+            .remaining_backoff(now)
             .map(|remaining| AvoidanceReason::Paused { remaining })
     }
 }
--- a/crates/core/src/routing/pool/dispatches.rs
+++ b/crates/core/src/routing/pool/dispatches.rs
@@ -100,7 +100,7 @@
         let Some(state) = self.engines.get_mut(&ticket.engine) else {
             return;
         };
-        state.health.succeeded();
+        state.health.on_success();
         state.breaks.answered();
         note_held(state, prefixes, &mut self.prefix_updates, now);
         self.paths.record_answer(&ticket.from, &state.engine.zone, now);
@@ -186,7 +186,7 @@
     pub fn on_answered(&mut self, ticket: &PoolTicket) {
         if let Some(state) = self.engines.get_mut(&ticket.engine) {
             let work = state.in_flight.remove(&ticket.number);
-            state.health.succeeded();
+            state.health.on_success();
             state.breaks.answered();
             // Its answer came after it was sent; when, only a series of events has told before.
             if let Some(work) = work {
@@ -208,7 +208,7 @@
         if let Some(state) = self.engines.get_mut(&ticket.engine) {
             state.in_flight.remove(&ticket.number);
             state.record_answer(now);
-            state.health.refused(reason, now);
+            state.health.on_refusal(reason, now);
             self.paths.record_answer(&ticket.from, &state.engine.zone, now);
         }
     }
@@ -217,7 +217,7 @@
     pub fn on_broken(&mut self, ticket: &PoolTicket, now: MonotonicTime) {
         if let Some(state) = self.engines.get_mut(&ticket.engine) {
             state.in_flight.remove(&ticket.number);
-            state.health.broke(now);
+            state.health.on_connection_failure(now);
             state.breaks.broke(now);
         }
     }
--- a/crates/core/src/routing/pool/engine.rs
+++ b/crates/core/src/routing/pool/engine.rs
@@ -11,7 +11,7 @@
 use crate::forwarding::PoolId;
 use crate::identity::{EngineId, NodeId, ZoneId};
 use crate::membership::subject::SubjectHandle;
-use crate::rate_limit::LimitBelief;
+use crate::rate_limit::LimitEstimate;
 use crate::routing::health::Health;
 use crate::time::MonotonicTime;
 use serde::{Deserialize, Serialize};
@@ -240,7 +240,7 @@
     pub(super) in_flight: BTreeMap<u64, InFlightWork>,
     pub(super) reported_load: Option<(ReportedLoad, MonotonicTime)>,
     /// The rate limit that it names in its answers.
-    pub(super) limit: LimitBelief,
+    pub(super) limit: LimitEstimate,
     pub(super) peers: BTreeMap<NodeId, (PeerWork, MonotonicTime)>,
     /// Factor by which it answers slower than expected; one when it does not. Decides where `pace` is not in use.
     pub(super) slowness: f64,
@@ -276,7 +276,7 @@
             breaks: BreakShare::default(),
             in_flight: BTreeMap::new(),
             reported_load: None,
-            limit: LimitBelief::default(),
+            limit: LimitEstimate::default(),
             peers: BTreeMap::new(),
             slowness: 1.0,
             recent_prefill: RecentPrefill::default(),
@@ -379,7 +379,7 @@
             && !self.engine.leaving
             && self.ordered_stage(now).is_none()
             && self.cordon_allows(now, last_resort)
-            && (last_resort || !(self.health.is_paused(now) || self.is_being_reclaimed(now)))
+            && (last_resort || !(self.health.is_backing_off(now) || self.is_being_reclaimed(now)))
     }
 
     /// Whether this start of the engine is over, beyond the doubt that its entry may only have lapsed.
@@ -395,7 +395,7 @@
 
     /// Whether another engine may fetch from it: it answers, even if it is about to leave.
     pub(super) fn can_be_fetched_from(&self, now: MonotonicTime) -> bool {
-        self.is_listed() && !self.health.is_paused(now)
+        self.is_listed() && !self.health.is_backing_off(now)
     }
 
     /// Whether the engine is listed and about to leave.
--- a/crates/core/src/routing/pool/limits.rs
+++ b/crates/core/src/routing/pool/limits.rs
@@ -5,7 +5,7 @@
 use crate::forwarding::PoolId;
 use crate::identity::EngineId;
 use crate::membership::subject::SubjectHandle;
-use crate::rate_limit::{AnsweredLimit, LimitChange, LimitNotice, RateLimit};
+use crate::rate_limit::{LimitChange, LimitNotice, RateLimit, ResponseLimit};
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
@@ -54,7 +54,7 @@
 
     /// Notice of the limit for other nodes; absent if no limit is to be published.
     pub fn limit_notice(&self, now: MonotonicTime) -> Option<LimitNotice> {
-        let (limit, age) = self.limit.told(now)?;
+        let (limit, age) = self.limit.advertised(now)?;
         Some(LimitNotice {
             engine: self.handle,
             limit,
@@ -69,13 +69,13 @@
     pub fn on_answered_limit(
         &mut self,
         engine: &EngineId,
-        answered_limit: &AnsweredLimit,
+        response_limit: &ResponseLimit,
         sent_at: MonotonicTime,
         now: MonotonicTime,
     ) -> LimitChange {
         let state = self.engines.get_mut(engine);
-        state.map_or(LimitChange::Nothing, |state| {
-            state.limit.on_answer(answered_limit, sent_at, now)
+        state.map_or(LimitChange::Unchanged, |state| {
+            state.limit.on_answer(response_limit, sent_at, now)
         })
     }
 
@@ -88,7 +88,7 @@
         if wait > state.slot_wait(now) {
             state.limit.note_slot(wait, now);
         }
-        (change == LimitChange::Limit).then_some(&*state)
+        (change == LimitChange::Changed).then_some(&*state)
     }
 
     /// Records the time until the next request slot of an engine.
@@ -112,7 +112,9 @@
             .engines
             .values()
             .filter(|state| state.is_listed())
-            .filter(|state| !observed_here || state.limit.is_named_here(OWN_LIMIT_NOTICE_DURATION, now));
+            .filter(|state| {
+                !observed_here || state.limit.is_confirmed_locally(OWN_LIMIT_NOTICE_DURATION, now)
+            });
         selected.filter_map(|state| state.limit_notice(now)).collect()
     }
 
--- a/crates/core/src/routing/pool/paths.rs
+++ b/crates/core/src/routing/pool/paths.rs
@@ -16,7 +16,7 @@
 
 use crate::identity::ZoneId;
 use crate::membership::subject::SubjectHandle;
-use crate::routing::returning::Returning;
+use crate::routing::slow_start::SlowStart;
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
@@ -92,7 +92,7 @@
         trial_interval: Duration,
     },
     Recovering {
-        returning: Returning,
+        returning: SlowStart,
     },
 }
 
@@ -331,13 +331,13 @@
         self.answered_at = self.answered_at.max(now);
         let change = match self.phase {
             Phase::Suspected { since, .. } if now > since => {
-                let returning = Returning::begin(now);
+                let returning = SlowStart::begin(now);
                 self.phase = Phase::Recovering { returning };
                 Some(self.change(PathState::Recovering, now.since(since)))
             }
-            Phase::Recovering { returning } if returning.is_over(now) => {
+            Phase::Recovering { returning } if returning.is_complete(now) => {
                 self.phase = Phase::Trusted;
-                Some(self.change(PathState::Trusted, returning.lasts(now)))
+                Some(self.change(PathState::Trusted, returning.elapsed(now)))
             }
             _ => None,
         };
--- a/crates/core/src/routing/pool/silences.rs
+++ b/crates/core/src/routing/pool/silences.rs
@@ -47,7 +47,7 @@
         let Some(work) = state.in_flight.remove(&ticket.number()) else {
             return;
         };
-        let pause = state.health.silent(now);
+        let pause = state.health.on_unresponsive(now);
         state.breaks.broke(now);
         let (zone, engine) = (state.engine.zone.clone(), state.handle);
         let from = ticket.from();
@@ -91,7 +91,7 @@
                 && path_is_trusted
                 && !has_answered_since
             {
-                let pause = state.health.silent(now);
+                let pause = state.health.on_unresponsive(now);
                 let engine = state.engine.id.clone();
                 if pause.is_some() {
                     self.record_availability_change(engine, pause, true);
