--- a/crates/core/src/routing/pool/listing.rs
+++ b/crates/core/src/routing/pool/listing.rs
@@ -283,7 +283,7 @@
             return Vec::new();
         }
         self.unreadable.remove(name);
-        self.ended_starts.note(engine);
+        self.ended_starts.record(engine);
         self.remove_listed(name)
             .map(ListChange::Gone)
             .into_iter()
@@ -304,7 +304,7 @@
     /// Removes whichever start of this name is listed and records it as ended.
     fn remove_listed(&mut self, name: &str) -> Option<EngineId> {
         let listed = self.engines.remove(name)?;
-        self.ended_starts.note(&listed.id);
+        self.ended_starts.record(&listed.id);
         Some(listed.id)
     }
 }
