--- a/crates/core/src/routing/pool/admission.rs
+++ b/crates/core/src/routing/pool/admission.rs
@@ -21,9 +21,9 @@
 
 use super::choice::PoolRoute;
 use super::engine::PoolEngine;
-use super::prefill_speed::PrefillSpeed;
 use super::query::{PoolQuery, PromptShape};
 use super::router::PoolRouter;
+use super::speed::PrefillSpeed;
 use crate::membership::subject::mix;
 use crate::setting::FieldError;
 use crate::sharing::{Charge, SharingSettings, Standing, TenantRequest};
--- a/crates/core/src/routing/pool/cost.rs
+++ b/crates/core/src/routing/pool/cost.rs
@@ -30,7 +30,7 @@
 //! factor       = how much longer work takes at e now ([`EngineState::work_factor`]); where paces decide it stretches the
 //!                tokens of a reading alone, not its fixed part ([`EngineState::prefill_seconds`])
 //! harm         = 0 to 1: how near the pauses between events come to the longest harmless one where prompts are read
-//!                beside an output, as seen ([`super::running_stats::PrefillPauses`])
+//!                beside an output, as seen ([`super::expectation::PrefillPauses`])
 //!
 //! slot at e    = seconds until e has a slot for one more request, where it names a rate limit ([`crate::rate_limit`])
 //!
--- a/crates/core/src/routing/pool/pauses.rs
+++ b/crates/core/src/routing/pool/pauses.rs
@@ -30,7 +30,7 @@
 //! `docs/design/stream-pauses.md`.
 
 use super::engine::EngineLoad;
-use super::prefill_speed::{MAX_OUTLIER_RATIO, PrefillSpeed};
+use super::speed::{MAX_OUTLIER_RATIO, PrefillSpeed};
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
--- a/crates/core/src/routing/pool/pool_speeds.rs
+++ b/crates/core/src/routing/pool/pool_speeds.rs
@@ -1,8 +1,8 @@
 //! Measured durations of the stages of requests in one pool.
 
+use super::expectation::{EstimateError, PrefillPauses, RejectionRate};
 use super::pauses::EventInterval;
-use super::prefill_speed::{MAX_OUTLIER_RATIO, PrefillSpeed};
-use super::running_stats::{EstimateError, PrefillPauses, RejectionRate};
+use super::speed::{MAX_OUTLIER_RATIO, PrefillSpeed};
 use std::time::Duration;
 
 /// Weight of a new observation in the moving averages.
--- a/crates/core/src/routing/pool/working_set/load.rs
+++ b/crates/core/src/routing/pool/working_set/load.rs
@@ -1,8 +1,8 @@
 //! Load of the engines in use.
 
 use crate::routing::pool::engine::{EngineStage, EngineState};
-use crate::routing::pool::prefill_speed::PrefillSpeed;
 use crate::routing::pool::router::PoolRouter;
+use crate::routing::pool::speed::PrefillSpeed;
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
