--- a/crates/core/src/engine_signals/register.rs
+++ b/crates/core/src/engine_signals/register.rs
@@ -12,8 +12,8 @@
 /// Maximum duration of a backoff; longer requests are shortened, and an engine can renew its request.
 pub const MAX_BACKOFF: Duration = Duration::from_secs(60);
 
-/// Drain and backoff signals by start of the engine. The register is independent of the engine list, so that an outdated or
-/// restored list entry does not revoke a signal of the engine itself.
+/// Drain and backoff signals by start of the engine. The register is independent of the engine list, so that an
+/// outdated or restored list entry does not revoke a signal of the engine itself.
 #[derive(Clone, Debug, Default)]
 pub struct SignalRegister {
     draining: BTreeSet<SubjectHandle>,
@@ -56,8 +56,8 @@
         *until
     }
 
-    /// End of the backoff that an engine requested, possibly in the past; `None` if there is none or it was removed after
-    /// its end.
+    /// End of the backoff that an engine requested, possibly in the past; `None` if there is none or it was removed
+    /// after its end.
     pub fn backoff_end(&self, engine: SubjectHandle) -> Option<MonotonicTime> {
         self.backoffs.get(&engine).copied()
     }
--- a/crates/core/src/routing/pool/concurrent_work.rs
+++ b/crates/core/src/routing/pool/concurrent_work.rs
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Shortest estimated queueing time in seconds before the prompt of a query starts at a prefill engine; `None` if the
-    /// query has no prompt, there is no such engine, or pauses are not weighted.
+    /// Shortest estimated queueing time in seconds before the prompt of a query starts at a prefill engine; `None` if
+    /// the query has no prompt, there is no such engine, or pauses are not weighted.
     pub(super) fn min_prefill_wait(&self, query: &PoolQuery<'_>, now: MonotonicTime) -> Option<f64> {
         if self.weights.pause_seconds == 0.0 || query.prompt.is_none() {
             return None;
--- a/crates/core/src/routing/pool/dispatches.rs
+++ b/crates/core/src/routing/pool/dispatches.rs
@@ -172,7 +172,8 @@
         }
     }
 
-    /// Records that a gap exceeded the maximum. The output already counts as late, so later gaps are no longer considered.
+    /// Records that a gap exceeded the maximum. The output already counts as late, so later gaps are no longer
+    /// considered.
     pub fn on_event_gap_exceeded(&mut self, ticket: &PoolTicket) {
         let state = self.engines.get_mut(&ticket.engine);
         if let Some(work) = state.and_then(|state| state.in_flight.get_mut(&ticket.number)) {
@@ -333,7 +334,8 @@
 ) {
     state.record_answer(now);
     state.prefixes.note_read(prefixes, now);
-    // The update includes the block of this request alone: it cannot be shared, but displaces shared blocks from the cache.
+    // The update includes the block of this request alone: it cannot be shared, but displaces shared blocks from the
+    // cache.
     if !shared_prefixes(prefixes).is_empty() && updates.len() < MAX_PENDING_UPDATES {
         updates.push(PrefixNews {
             engine: state.handle,
--- a/crates/core/src/routing/pool/engine.rs
+++ b/crates/core/src/routing/pool/engine.rs
@@ -64,8 +64,9 @@
     pub waiting: u32,
     /// Maximum number of requests that run concurrently.
     pub places: u32,
-    /// Current duration of work on the engine's machine, as a percentage of its usual duration there; `None` if the engine
-    /// does not report it. Engines share machines with other processes, so the value changes many times a second.
+    /// Current duration of work on the engine's machine, as a percentage of its usual duration there; `None` if the
+    /// engine does not report it. Engines share machines with other processes, so the value changes many times a
+    /// second.
     pub work_time_percent: Option<u32>,
 }
 
@@ -328,9 +329,9 @@
 
     /// Estimated time to prefill `tokens` prompt tokens here, in seconds, from the pool's prefill speed.
     ///
-    /// The pace scales the token count but not the fixed part of the estimate. The fixed part is mostly queueing behind
-    /// requests not yet reported by peers, which is no longer at a slow engine; scaling it as well would favor queues at fast
-    /// engines over idle engines.
+    /// The pace scales the token count but not the fixed part of the estimate. The fixed part is mostly queueing
+    /// behind requests not yet reported by peers, which is no longer at a slow engine; scaling it as well would favor
+    /// queues at fast engines over idle engines.
     pub fn prefill_seconds(&self, line: &PrefillSpeed, tokens: f64, now: MonotonicTime) -> f64 {
         if self.pace.in_use() {
             line.seconds(tokens * self.pace.factor(now))
@@ -374,8 +375,8 @@
             .unwrap_or_default()
     }
 
-    /// Whether the engine may get new work. An engine that is unhealthy, cordoned or probably being reclaimed may get it
-    /// only if `last_resort` is set.
+    /// Whether the engine may get new work. An engine that is unhealthy, cordoned or probably being reclaimed may get
+    /// it only if `last_resort` is set.
     pub(super) fn takes_work(&self, now: MonotonicTime, last_resort: bool) -> bool {
         !self.has_ended(now)
             && !self.engine.leaving
--- a/crates/core/src/routing/pool/expectation.rs
+++ b/crates/core/src/routing/pool/expectation.rs
@@ -8,8 +8,8 @@
 /// Minimum and maximum of a quantile estimate.
 const QUANTILE_BOUNDS: (f64, f64) = (0.3, 4.0);
 
-/// Added to the expected and the actual duration before they are compared, in seconds, so that a small absolute error of a
-/// short duration does not count as a large relative error.
+/// Added to the expected and the actual duration before they are compared, in seconds, so that a small absolute error
+/// of a short duration does not count as a large relative error.
 const ERROR_OFFSET_SECONDS: f64 = 0.020;
 
 /// Quantile that the optimistic estimate tracks.
--- a/crates/core/src/routing/pool/pool_speeds.rs
+++ b/crates/core/src/routing/pool/pool_speeds.rs
@@ -35,8 +35,8 @@
     pub decode: PrefillSpeed,
     /// Prefill of requests of the lowest rank, which run after all that can still be in time.
     pub late: PrefillSpeed,
-    /// Mean time in seconds from a decode dispatch after a prefill at another engine to its first event, if the engine was
-    /// not full.
+    /// Mean time in seconds from a decode dispatch after a prefill at another engine to its first event, if the
+    /// engine was not full.
     pub handoff_seconds: f64,
     /// Mean additional time in seconds if the engine was full.
     pub queue_wait_seconds: f64,
--- a/crates/core/src/routing/pool/recent_changes.rs
+++ b/crates/core/src/routing/pool/recent_changes.rs
@@ -22,7 +22,8 @@
 }
 
 impl ListUpdate {
-    /// Applies the changes to a list and returns those that were new to it; applies none if the list lacks earlier changes.
+    /// Applies the changes to a list and returns those that were new to it; applies none if the list lacks earlier
+    /// changes.
     pub fn apply_to(self, listing: &mut EngineListing) -> Vec<ListChange> {
         match self.changes.last().map(|(version, _)| *version) {
             Some(last) if listing.reflected_version() >= self.base => listing.apply(self.changes, last),
@@ -41,8 +42,8 @@
 impl RecentChanges {
     /// Records changes that the store returned for versions above `after`, before they are applied to `listing`.
     ///
-    /// The store increments its version on every write, including writes that do not change the engine list. So the base of
-    /// the update is the version of the last change of the list, which a complete list always reflects.
+    /// The store increments its version on every write, including writes that do not change the engine list. So the
+    /// base of the update is the version of the last change of the list, which a complete list always reflects.
     pub fn record(
         &mut self,
         listing: &EngineListing,
@@ -51,7 +52,8 @@
         now: MonotonicTime,
     ) {
         if listing.reflected_version() > after {
-            // A peer has already published some of these changes, so they may not be contiguous with those recorded here.
+            // A peer has already published some of these changes, so they may not be contiguous with those recorded
+            // here.
             return self.reset();
         }
         if self.changes.is_empty() {
--- a/crates/core/src/routing/pool/reclaims.rs
+++ b/crates/core/src/routing/pool/reclaims.rs
@@ -9,13 +9,13 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time for which a spot engine is avoided after its zone was seen reclaiming spot engines. The list shows that the engine
-/// drains after its next heartbeat, up to 1.2 s later; requests sent before may be interrupted.
+/// Time for which a spot engine is avoided after its zone was seen reclaiming spot engines. The list shows that the
+/// engine drains after its next heartbeat, up to 1.2 s later; requests sent before may be interrupted.
 const RECLAIM_AVOIDANCE_DURATION: Duration = Duration::from_millis(3_000);
 
 impl PoolRouter {
-    /// Marks the spot engines of zones that are being reclaimed as avoided; call it after each change of the engine list.
-    /// Returns whether an engine was marked for the first time.
+    /// Marks the spot engines of zones that are being reclaimed as avoided; call it after each change of the engine
+    /// list. Returns whether an engine was marked for the first time.
     pub fn update_reclaimed_zones(&mut self, now: MonotonicTime) -> bool {
         let zones = self.spot_engines_by_zone();
         let mut is_new = false;
@@ -46,7 +46,8 @@
         self.engine.spot && self.is_active()
     }
 
-    /// Whether the zone reclaims its spot engines, so that this one may be drained although the list does not show it yet.
+    /// Whether the zone reclaims its spot engines, so that this one may be drained although the list does not show it
+    /// yet.
     pub(super) fn is_being_reclaimed(&self, now: MonotonicTime) -> bool {
         self.reclaim_seen_at
             .is_some_and(|at| now.since(at) < RECLAIM_AVOIDANCE_DURATION)
--- a/crates/core/src/routing/pool/signals.rs
+++ b/crates/core/src/routing/pool/signals.rs
@@ -46,8 +46,9 @@
         self.backoff_end.map_or(Duration::ZERO, |end| end.since(now))
     }
 
-    /// Whether the engine's backoff allows a request of this node. Allows none before its end and a growing share after it,
-    /// selected by the query's random draw and the engine's handle. Queries of other nodes are always allowed.
+    /// Whether the engine's backoff allows a request of this node. Allows none before its end and a growing share
+    /// after it, selected by the query's random draw and the engine's handle. Queries of other nodes are always
+    /// allowed.
     pub(super) fn backoff_admits(&self, query: &PoolQuery<'_>, now: MonotonicTime) -> bool {
         let Some(end) = self.backoff_end.filter(|_| query.from_this_node) else {
             return true;
@@ -98,14 +99,14 @@
         end
     }
 
-    /// Up to `max_engines` engines that have requested a backoff from this node, to be excluded by a placer that selects
-    /// engines for this node.
+    /// Up to `max_engines` engines that have requested a backoff from this node, to be excluded by a placer that
+    /// selects engines for this node.
     pub fn backed_off(&self, max_engines: usize, now: MonotonicTime) -> Vec<SubjectHandle> {
         self.signals.backed_off(now).take(max_engines).collect()
     }
 
-    /// Time until every stage that a query needs has an engine whose backoff and rate limit admit the query; `None` if all
-    /// stages accept it now or have no usable engine.
+    /// Time until every stage that a query needs has an engine whose backoff and rate limit admit the query; `None`
+    /// if all stages accept it now or have no usable engine.
     pub fn time_until_accepted(&self, query: &PoolQuery<'_>, now: MonotonicTime) -> Option<Duration> {
         let stages = match query.prompt {
             Some(_) => &[EngineStage::Prefill, EngineStage::Decode][..],
@@ -138,8 +139,8 @@
         waits.min()
     }
 
-    /// Reason why this node must not send a request to an engine now; `None` if it may. For an engine that the router does not
-    /// hold, only its own signals count.
+    /// Reason why this node must not send a request to an engine now; `None` if it may. For an engine that the router
+    /// does not hold, only its own signals count.
     pub fn not_accepting(&self, engine: &EngineId, now: MonotonicTime) -> Option<NotAccepting> {
         let state = self.engine(engine);
         let handle = self.handle_of(engine);
--- a/crates/core/src/routing/pool/speed.rs
+++ b/crates/core/src/routing/pool/speed.rs
@@ -8,12 +8,12 @@
 /// Weight of the initial estimate, in observations.
 const INITIAL_WEIGHT: f64 = 2.0;
 
-/// Maximum ratio between an observation and its expected value, in either direction. Observations beyond it are clamped, so
-/// that an outlier has little effect while a lasting change is still followed.
+/// Maximum ratio between an observation and its expected value, in either direction. Observations beyond it are
+/// clamped, so that an outlier has little effect while a lasting change is still followed.
 pub(super) const MAX_OUTLIER_RATIO: f64 = 2.5;
 
-/// Minimum standard deviation of the token counts, relative to their mean, at which both parameters are fitted. Below it,
-/// the fixed part cannot be told from the time per token.
+/// Minimum standard deviation of the token counts, relative to their mean, at which both parameters are fitted. Below
+/// it, the fixed part cannot be told from the time per token.
 const MIN_RELATIVE_DEVIATION: f64 = 0.25;
 
 /// Minimum number of observations before the estimate counts as learned.
@@ -31,8 +31,8 @@
 /// Linear model of the time until a prompt is prefilled, as a function of the tokens to prefill until then, including
 /// those of prompts ahead in the queue.
 ///
-/// Fitted by weighted least squares; the weight of an observation decays exponentially with each later one, and outliers
-/// are clamped relative to the current estimate.
+/// Fitted by weighted least squares; the weight of an observation decays exponentially with each later one, and
+/// outliers are clamped relative to the current estimate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PrefillSpeed {
     fixed_seconds: f64,
--- a/crates/core/tests/engine_signals.rs
+++ b/crates/core/tests/engine_signals.rs
@@ -1,4 +1,4 @@
-//! What an engine said of itself outranks every other source, for that start of the engine.
+//! Drain and backoff signals of an engine take precedence over all other sources, for one start of the engine.
 
 mod pool_support;
 
@@ -31,41 +31,41 @@
     SubjectHandle::of_engine(&engine.id)
 }
 
-/// What other sources say of an engine, or do to it.
+/// Events of other sources that concern an engine.
 #[derive(Clone, Copy, Debug)]
 enum Source {
-    ListedReady,
-    ListedLeaving,
-    Gone,
-    GoneInDoubt,
+    ListedActive,
+    ListedDraining,
+    Delisted,
+    DelistedInDoubt,
     UnreadableEntry,
-    NamedByAnotherNode,
+    ReportedByPeer,
 }
 
 fn source() -> impl Strategy<Value = Source> {
     prop_oneof![
-        Just(Source::ListedReady),
-        Just(Source::ListedLeaving),
-        Just(Source::Gone),
-        Just(Source::GoneInDoubt),
+        Just(Source::ListedActive),
+        Just(Source::ListedDraining),
+        Just(Source::Delisted),
+        Just(Source::DelistedInDoubt),
         Just(Source::UnreadableEntry),
-        Just(Source::NamedByAnotherNode),
+        Just(Source::ReportedByPeer),
     ]
 }
 
 fn apply(router: &mut PoolRouter, source: Source, engine: &PoolEngine, now: MonotonicTime) {
     match source {
-        Source::ListedReady => router.on_engine_listed(engine.clone()),
-        Source::ListedLeaving => router.on_engine_listed(PoolEngine {
+        Source::ListedActive => router.on_engine_listed(engine.clone()),
+        Source::ListedDraining => router.on_engine_listed(PoolEngine {
             leaving: true,
             ..engine.clone()
         }),
-        Source::Gone => router.on_engine_gone(&engine.id, false, now),
-        Source::GoneInDoubt => router.on_engine_gone(&engine.id, true, now),
+        Source::Delisted => router.on_engine_gone(&engine.id, false, now),
+        Source::DelistedInDoubt => router.on_engine_gone(&engine.id, true, now),
         Source::UnreadableEntry => {
             router.on_entry_unreadable(&EngineId::new(engine.id.as_str()), now);
         }
-        Source::NamedByAnotherNode => {
+        Source::ReportedByPeer => {
             router.bring_into_use(handle(engine));
         }
     }
@@ -73,7 +73,7 @@
 
 proptest! {
     #[test]
-    fn no_other_source_revokes_a_drain_that_an_engine_announced(
+    fn no_other_source_revokes_an_announced_drain(
         before in prop::collection::vec(source(), 0..4),
         after in prop::collection::vec((source(), 0_u64..8_000), 0..12),
         whole_up_to in prop_oneof![Just(0_usize), Just(200)],
@@ -82,26 +82,26 @@
             working_set: WorkingSetSettings { whole_up_to, ..WorkingSetSettings::default() },
             ..PoolWeights::default()
         };
-        let drains = engine("drains", 0);
-        let mut router = router_with(weights, 64, None, std::slice::from_ref(&drains));
+        let draining = engine("drains", 0);
+        let mut router = router_with(weights, 64, None, std::slice::from_ref(&draining));
         for source in before {
-            apply(&mut router, source, &drains, NOW);
+            apply(&mut router, source, &draining, NOW);
         }
-        prop_assert!(router.on_draining(handle(&drains)));
+        prop_assert!(router.on_draining(handle(&draining)));
         let mut now = NOW;
         for (source, pause) in after {
             now = now + Duration::from_millis(pause);
-            apply(&mut router, source, &drains, now);
+            apply(&mut router, source, &draining, now);
             router.update_working_set(now);
             prop_assert_eq!(router.taking_work(now), 0);
             prop_assert_eq!(router.reserve().count(), 0);
-            prop_assert_eq!(router.not_accepting(&drains.id, now), Some(NotAccepting::Draining));
+            prop_assert_eq!(router.not_accepting(&draining.id, now), Some(NotAccepting::Draining));
         }
     }
 }
 
 #[test]
-fn a_later_start_under_the_same_name_does_not_inherit_a_drain() {
+fn later_start_does_not_inherit_a_drain() {
     let (first, second) = (engine("engine", 1), engine("engine", 2));
     let mut router = router(std::slice::from_ref(&first));
     router.on_draining(handle(&first));
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn an_engine_of_the_reserve_takes_the_place_of_one_that_drains_at_once() {
+fn reserve_engine_replaces_a_draining_engine_at_once() {
     let weights = PoolWeights {
         working_set: WorkingSetSettings {
             whole_up_to: 0,
@@ -123,19 +123,19 @@
     };
     let engines = [engine("one", 0), engine("other", 0)];
     let mut router = router_with(weights, 64, None, &engines);
-    let drains = router.in_use().pop().expect("one is in use");
-    router.on_draining(handle(&drains));
-    let taking = router.taking_work(NOW);
-    assert_eq!(taking, 1);
+    let draining = router.in_use().pop().expect("one is in use");
+    router.on_draining(handle(&draining));
+    let available = router.taking_work(NOW);
+    assert_eq!(available, 1);
     assert_eq!(router.reserve().count(), 0);
 }
 
-struct Asked {
+struct QueryFixture {
     pool: PoolId,
     zone: ZoneId,
 }
 
-impl Asked {
+impl QueryFixture {
     fn new() -> Self {
         Self {
             pool: pool(),
@@ -161,36 +161,41 @@
     }
 }
 
-/// How many of a hundred requests go to an engine.
-fn part_to(router: &PoolRouter, name: &str, from_this_node: bool, now: MonotonicTime) -> usize {
-    let asked = Asked::new();
-    let routes = (0..100).map(|draw| router.choose(&asked.query(from_this_node, draw), now));
-    let there = |route: &PoolRoute| matches!(route, PoolRoute::Whole(engine) if engine.id.as_str() == name);
-    routes.filter(there).count()
+/// Percentage of requests that are routed to an engine.
+fn routed_percent(router: &PoolRouter, name: &str, from_this_node: bool, now: MonotonicTime) -> usize {
+    let fixture = QueryFixture::new();
+    let routes = (0..100).map(|draw| router.choose(&fixture.query(from_this_node, draw), now));
+    let is_to_engine =
+        |route: &PoolRoute| matches!(route, PoolRoute::Whole(engine) if engine.id.as_str() == name);
+    routes.filter(is_to_engine).count()
 }
 
 const BACKOFF: Duration = Duration::from_secs(3);
 
 #[test]
-fn a_backoff_binds_the_node_that_was_refused_and_not_those_for_which_it_chooses() {
+fn backoff_applies_only_to_requests_of_this_node() {
     let only = engine("only", 0);
     let mut router = router(std::slice::from_ref(&only));
     router.on_backoff_requested(&only.id, BACKOFF, NOW);
-    assert_eq!(part_to(&router, "only", true, NOW), 0, "also as a last resort");
-    assert_eq!(part_to(&router, "only", false, NOW), 100);
+    assert_eq!(
+        routed_percent(&router, "only", true, NOW),
+        0,
+        "even if no other engine is available"
+    );
+    assert_eq!(routed_percent(&router, "only", false, NOW), 100);
     assert_eq!(
         router.not_accepting(&only.id, NOW),
         Some(NotAccepting::BackedOff { remaining: BACKOFF })
     );
-    let asked = Asked::new();
+    let fixture = QueryFixture::new();
     assert_eq!(
-        router.time_until_accepted(&asked.query(true, 0), NOW),
+        router.time_until_accepted(&fixture.query(true, 0), NOW),
         Some(BACKOFF)
     );
 }
 
 #[test]
-fn the_longest_of_several_backoffs_counts_and_no_answer_or_listing_shortens_it() {
+fn longest_backoff_applies_and_nothing_shortens_it() {
     let only = engine("only", 0);
     let mut router = router(std::slice::from_ref(&only));
     router.on_backoff_requested(&only.id, BACKOFF, NOW);
@@ -198,35 +203,45 @@
     router.on_told(&only.id, ReportedLoad::default(), NOW);
     router.on_engine_listed(only.clone());
     let before_end = NOW + BACKOFF - Duration::from_millis(1);
-    assert_eq!(part_to(&router, "only", true, before_end), 0);
-    assert_eq!(part_to(&router, "only", true, NOW + BACKOFF), 100, "the only one");
+    assert_eq!(routed_percent(&router, "only", true, before_end), 0);
+    assert_eq!(
+        routed_percent(&router, "only", true, NOW + BACKOFF),
+        100,
+        "the engine is the only one"
+    );
 }
 
 #[test]
-fn a_backoff_outlasts_what_the_router_forgets_of_an_engine() {
+fn backoff_survives_the_removal_of_an_engine() {
     let only = engine("only", 0);
     let mut router = router(std::slice::from_ref(&only));
     router.on_backoff_requested(&only.id, Duration::from_secs(30), NOW);
     router.on_engine_gone(&only.id, false, NOW);
     let later = NOW + Duration::from_secs(10);
     router.on_engine_gone(&EngineId::new("another"), false, later);
-    assert!(router.engine(&only.id).is_none(), "forgotten");
+    assert!(
+        router.engine(&only.id).is_none(),
+        "the router has discarded the engine"
+    );
     router.on_engine_listed(only.clone());
-    assert_eq!(part_to(&router, "only", true, later), 0);
+    assert_eq!(routed_percent(&router, "only", true, later), 0);
 }
 
 #[test]
-fn load_returns_step_by_step_when_a_backoff_is_over() {
+fn traffic_resumes_gradually_after_a_backoff() {
     let (backed_off, other) = (engine("backed-off", 0), engine("other", 0));
     let mut router = router(&[backed_off.clone(), other]);
-    let usual = part_to(&router, "backed-off", true, NOW);
-    assert!(usual > 0, "it is the cheaper one");
+    let before_backoff = routed_percent(&router, "backed-off", true, NOW);
+    assert!(before_backoff > 0, "the engine is preferred without a backoff");
     router.on_backoff_requested(&backed_off.id, BACKOFF, NOW);
     let end = NOW + BACKOFF;
-    let at_first = part_to(&router, "backed-off", true, end);
-    assert!(at_first > 0 && at_first < usual / 2, "{at_first} of {usual}");
+    let after_end = routed_percent(&router, "backed-off", true, end);
+    assert!(
+        after_end > 0 && after_end < before_backoff / 2,
+        "{after_end} of {before_backoff}"
+    );
     assert_eq!(
-        part_to(&router, "backed-off", true, end + Duration::from_secs(2)),
-        usual
+        routed_percent(&router, "backed-off", true, end + Duration::from_secs(2)),
+        before_backoff
     );
 }
--- a/crates/core/tests/list_news.rs
+++ b/crates/core/tests/list_news.rs
@@ -1,4 +1,4 @@
-//! Changes of the list of engines, as one node hands them to another.
+//! Recent changes of the engine list: a peer applies them only if they leave no gap.
 
 use shelfjunction_core::forwarding::PoolId;
 use shelfjunction_core::identity::{EngineId, ZoneId};
@@ -12,7 +12,7 @@
     MonotonicTime::from_millis(millis)
 }
 
-fn listed(id: &str, leaving: bool) -> ListChange {
+fn listed_change(id: &str, leaving: bool) -> ListChange {
     ListChange::Listed(PoolEngine {
         id: EngineId::new(id),
         pool: PoolId("pool".to_owned()),
@@ -27,9 +27,9 @@
     })
 }
 
-fn listing(version: u64) -> EngineListing {
-    let ListChange::Listed(first) = listed("first", false) else {
-        unreachable!("it is listed");
+fn listing_at_version(version: u64) -> EngineListing {
+    let ListChange::Listed(first) = listed_change("first", false) else {
+        unreachable!("`listed` returns ListChange::Listed");
     };
     let mut listing = EngineListing::default();
     listing.replace(&ListSnapshot {
@@ -41,85 +41,124 @@
 }
 
 #[test]
-fn a_change_reaches_a_node_that_has_everything_before_it() {
+fn update_applies_to_a_list_with_all_earlier_changes() {
     let mut recent = RecentChanges::default();
     recent.record(
-        &listing(10),
+        &listing_at_version(10),
         10,
-        &[(12, listed("a", false)), (13, listed("b", false))],
+        &[(12, listed_change("a", false)), (13, listed_change("b", false))],
         at(0),
     );
-    let mut other = listing(11);
-    let taken = recent.publishable(6, at(50)).apply_to(&mut other);
-    assert_eq!(taken.len(), 2);
-    assert_eq!(other.reflected_version(), 13);
+    let mut peer = listing_at_version(11);
+    let applied = recent.publishable(6, at(50)).apply_to(&mut peer);
+    assert_eq!(applied.len(), 2);
+    assert_eq!(peer.reflected_version(), 13);
     assert!(
-        recent.publishable(6, at(60)).apply_to(&mut other).is_empty(),
-        "once"
+        recent.publishable(6, at(60)).apply_to(&mut peer).is_empty(),
+        "an update is applied only once"
     );
 }
 
 #[test]
-fn a_node_that_lacks_more_takes_nothing() {
+fn update_does_not_apply_to_a_list_that_lacks_earlier_changes() {
     let mut recent = RecentChanges::default();
-    recent.record(&listing(10), 10, &[(12, listed("a", true))], at(0));
-    let mut other = listing(9);
-    assert!(recent.publishable(6, at(50)).apply_to(&mut other).is_empty());
-    assert_eq!(other.reflected_version(), 9, "it must ask for what it lacks");
+    recent.record(
+        &listing_at_version(10),
+        10,
+        &[(12, listed_change("a", true))],
+        at(0),
+    );
+    let mut peer = listing_at_version(9);
+    assert!(recent.publishable(6, at(50)).apply_to(&mut peer).is_empty());
+    assert_eq!(
+        peer.reflected_version(),
+        9,
+        "the list must not skip the missing version"
+    );
 }
 
 #[test]
-fn what_is_no_longer_told_is_lacking_rather_than_skipped() {
+fn discarded_changes_move_the_base_version() {
     let mut recent = RecentChanges::default();
-    recent.record(&listing(10), 10, &[(12, listed("a", false))], at(0));
-    recent.record(&listing(12), 12, &[(14, listed("b", false))], at(600));
-    let late = recent.publishable(6, at(800));
-    assert_eq!((late.base, late.changes.len()), (12, 1));
-    assert!(late.clone().apply_to(&mut listing(11)).is_empty());
-    assert_eq!(late.apply_to(&mut listing(12)).len(), 1);
     recent.record(
-        &listing(14),
+        &listing_at_version(10),
+        10,
+        &[(12, listed_change("a", false))],
+        at(0),
+    );
+    recent.record(
+        &listing_at_version(12),
+        12,
+        &[(14, listed_change("b", false))],
+        at(600),
+    );
+    let after_expiry = recent.publishable(6, at(800));
+    assert_eq!((after_expiry.base, after_expiry.changes.len()), (12, 1));
+    assert!(
+        after_expiry
+            .clone()
+            .apply_to(&mut listing_at_version(11))
+            .is_empty()
+    );
+    assert_eq!(after_expiry.apply_to(&mut listing_at_version(12)).len(), 1);
+    recent.record(
+        &listing_at_version(14),
         14,
-        &[(15, listed("c", false)), (16, listed("d", false))],
+        &[(15, listed_change("c", false)), (16, listed_change("d", false))],
         at(810),
     );
-    let shortened = recent.publishable(1, at(820));
-    assert_eq!((shortened.base, shortened.changes.len()), (15, 1));
+    let truncated = recent.publishable(1, at(820));
+    assert_eq!((truncated.base, truncated.changes.len()), (15, 1));
 }
 
 #[test]
-fn changes_that_do_not_follow_on_each_other_are_never_told_together() {
+fn reset_separates_changes_that_are_not_contiguous() {
     let mut recent = RecentChanges::default();
-    recent.record(&listing(10), 10, &[(12, listed("a", false))], at(0));
+    recent.record(
+        &listing_at_version(10),
+        10,
+        &[(12, listed_change("a", false))],
+        at(0),
+    );
     recent.reset();
-    recent.record(&listing(20), 20, &[(22, listed("b", false))], at(10));
-    let told = recent.publishable(6, at(20));
-    assert_eq!(told.base, 20);
-    assert!(told.apply_to(&mut listing(12)).is_empty());
+    recent.record(
+        &listing_at_version(20),
+        20,
+        &[(22, listed_change("b", false))],
+        at(10),
+    );
+    let update = recent.publishable(6, at(20));
+    assert_eq!(update.base, 20);
+    assert!(update.apply_to(&mut listing_at_version(12)).is_empty());
 }
 
-/// Found on a grown day: each change of an engine's stage cost a call of every node, though two of them told it.
+/// Versions without list changes must not make a node read the store although a peer published all changes.
 #[test]
-fn a_quiet_time_at_the_store_makes_nobody_lack_anything() {
-    let mut watcher = listing(10);
-    watcher.apply(Vec::new(), 5_000);
+fn store_versions_without_list_changes_leave_no_gap() {
+    let mut watching_node = listing_at_version(10);
+    watching_node.apply(Vec::new(), 5_000);
     let mut recent = RecentChanges::default();
-    recent.record(&watcher, 5_000, &[(5_002, listed("a", false))], at(0));
-    let mut other = listing(10);
-    let taken = recent.publishable(6, at(50)).apply_to(&mut other);
-    assert_eq!(taken.len(), 1, "nothing changed between 10 and 5,000");
-    assert_eq!(other.reflected_version(), 5_002);
+    recent.record(
+        &watching_node,
+        5_000,
+        &[(5_002, listed_change("a", false))],
+        at(0),
+    );
+    let mut peer = listing_at_version(10);
+    let applied = recent.publishable(6, at(50)).apply_to(&mut peer);
+    assert_eq!(applied.len(), 1, "nothing changed between 10 and 5,000");
+    assert_eq!(peer.reflected_version(), 5_002);
 }
 
 #[test]
-fn changes_behind_those_that_another_node_told_are_not_told() {
-    let mut watcher = listing(10);
-    watcher.apply(vec![(12, listed("a", false))], 12);
+fn changes_already_received_from_a_peer_are_not_published() {
+    let mut watching_node = listing_at_version(10);
+    watching_node.apply(vec![(12, listed_change("a", false))], 12);
     let mut recent = RecentChanges::default();
     recent.record(
-        &watcher,
+        &watching_node,
         10,
-        &[(12, listed("a", false)), (14, listed("b", false))],
+        &[(12, listed_change("a", false)), (14, listed_change("b", false))],
         at(0),
     );
     assert!(recent.publishable(6, at(10)).changes.is_empty());
--- a/crates/core/tests/opaque_requests.rs
+++ b/crates/core/tests/opaque_requests.rs
@@ -1,4 +1,4 @@
-//! Courses of opaque requests: when each may be sent again, and what may truthfully be said of it.
+//! Opaque requests: when they may be sent again, and which outcome is reported.
 
 #![allow(clippy::unwrap_used)]
 
@@ -51,16 +51,16 @@
     }
 }
 
-fn split() -> Placement {
+fn split_placement() -> Placement {
     Placement::Split {
         prefill: target("prefill", 1),
         decode: target("decode", 2),
     }
 }
 
-/// The attempt of the one dispatch among the actions.
-fn dispatched(actions: &[Action]) -> (AttemptId, EngineId, Phase, Option<KvTransfer>) {
-    let found = actions.iter().find_map(|action| match action {
+/// Returns the attempt, engine, phase and import of the first dispatch among the actions.
+fn first_dispatch(actions: &[Action]) -> (AttemptId, EngineId, Phase, Option<KvTransfer>) {
+    let dispatch = actions.iter().find_map(|action| match action {
         Action::Dispatch { target, call, .. } => Some((
             call.attempt.clone(),
             target.engine.clone(),
@@ -69,10 +69,10 @@
         )),
         _ => None,
     });
-    found.unwrap_or_else(|| panic!("no dispatch in {actions:?}"))
+    dispatch.unwrap_or_else(|| panic!("no dispatch in {actions:?}"))
 }
 
-fn finished(actions: &[Action]) -> Outcome {
+fn finish_outcome(actions: &[Action]) -> Outcome {
     match actions.last() {
         Some(Action::Finish(outcome)) => outcome.clone(),
         _ => panic!("not finished by {actions:?}"),
@@ -85,10 +85,10 @@
         .any(|action| matches!(action, Action::Forward(ForwardAction::FreeTransfer { .. })))
 }
 
-/// Begins a split request and reads its prompt; returns what the machine asks for then.
-fn read_prompt(machine: &mut RequestMachine) -> Vec<Action> {
+/// Starts a split request and completes its prefill; returns the resulting actions.
+fn complete_prefill(machine: &mut RequestMachine) -> Vec<Action> {
     machine.handle(Event::Admitted, NOW);
-    let (attempt, engine, phase, _) = dispatched(&machine.handle(Event::Placed(split()), NOW));
+    let (attempt, engine, phase, _) = first_dispatch(&machine.handle(Event::Placed(split_placement()), NOW));
     assert_eq!((engine.as_str(), phase), ("prefill", Phase::PrefillOnly));
     let part = AnswerPart::Prefilled {
         request: RequestId::new("request"),
@@ -104,11 +104,11 @@
     }
 }
 
-/// Found on a loaded day: the engine chosen beforehand had told that it leaves while a long prompt was read.
+/// An engine chosen before a long prefill may drain before the prefill completes.
 #[test]
-fn the_output_engine_is_chosen_when_the_prompt_has_been_read() {
+fn decode_engine_is_chosen_after_prefill() {
     let mut machine = machine(RepeatRule::Never, 1);
-    let actions = read_prompt(&mut machine);
+    let actions = complete_prefill(&mut machine);
     assert_eq!(
         actions,
         vec![Action::Forward(ForwardAction::ChooseOutput {
@@ -117,17 +117,17 @@
         })]
     );
     let placed = Event::Placed(Placement::Whole(target("other", 3)));
-    let (_, engine, phase, import) = dispatched(&machine.handle(placed, NOW));
+    let (_, engine, phase, import) = first_dispatch(&machine.handle(placed, NOW));
     assert_eq!((engine.as_str(), phase), ("other", Phase::Whole));
     assert_eq!(import.map(|import| import.handle), Some("handle".to_owned()));
 }
 
 #[test]
-fn a_refused_output_does_not_cost_the_prompt() {
+fn refused_decode_keeps_the_prefilled_prompt() {
     let mut machine = machine(RepeatRule::Never, 1);
-    read_prompt(&mut machine);
+    complete_prefill(&mut machine);
     let placed = Event::Placed(Placement::Whole(target("decode", 2)));
-    let (attempt, ..) = dispatched(&machine.handle(placed, NOW));
+    let (attempt, ..) = first_dispatch(&machine.handle(placed, NOW));
     let refused = Event::Refused {
         attempt,
         refusal: refusal(EngineRefusalReason::TransferGone),
@@ -146,32 +146,32 @@
     );
 }
 
-/// An engine that has started again may hold the cache of another request under the same handle.
+/// A restarted engine may hold the KV cache of another request under the same handle.
 #[test]
-fn a_cache_whose_engine_has_started_again_is_neither_fetched_nor_freed_and_the_prompt_is_read_anew() {
+fn prefill_is_repeated_without_transfer_after_a_restart_of_its_engine() {
     let mut machine = machine(RepeatRule::Never, 1);
-    read_prompt(&mut machine);
+    complete_prefill(&mut machine);
     assert!(matches!(
         machine.handle(Event::TransferLost, NOW)[..],
         [Action::AskRetry { .. }]
     ));
     let actions = machine.handle(Event::RetryGranted { not_before: NOW }, NOW);
     assert!(matches!(actions[..], [Action::Choose { .. }]), "{actions:?}");
-    let (_, _, phase, import) = dispatched(&machine.handle(Event::Placed(split()), NOW));
+    let (_, _, phase, import) = first_dispatch(&machine.handle(Event::Placed(split_placement()), NOW));
     assert_eq!((phase, import), (Phase::PrefillOnly, None));
     assert!(!frees_transfer(&machine.handle(Event::CallerGone, NOW)));
 }
 
 #[test]
-fn a_cache_is_freed_at_the_start_of_the_engine_that_holds_it() {
+fn transfer_is_freed_at_the_engine_start_that_holds_it() {
     let mut machine = machine(RepeatRule::Never, 1);
-    let mut placed = split();
+    let mut placed = split_placement();
     let started = EngineId::started("prefill", EngineStart(7));
     if let Placement::Split { prefill, .. } = &mut placed {
         prefill.engine = started.clone();
     }
     machine.handle(Event::Admitted, NOW);
-    let (attempt, ..) = dispatched(&machine.handle(Event::Placed(placed), NOW));
+    let (attempt, ..) = first_dispatch(&machine.handle(Event::Placed(placed), NOW));
     let part = AnswerPart::Prefilled {
         request: RequestId::new("request"),
         handle: "handle".to_owned(),
@@ -186,30 +186,33 @@
 }
 
 #[test]
-fn a_prompt_that_was_only_read_has_not_run_and_its_cache_is_freed() {
+fn deadline_after_prefill_frees_the_transfer_and_reports_not_run() {
     let mut machine = machine(RepeatRule::Never, 1);
-    read_prompt(&mut machine);
+    complete_prefill(&mut machine);
     let actions = machine.handle(Event::DeadlineReached, NOW);
     assert!(frees_transfer(&actions));
-    assert!(matches!(finished(&actions), Outcome::NotRun(_)));
+    assert!(matches!(finish_outcome(&actions), Outcome::NotRun(_)));
 }
 
 #[test]
-fn a_request_that_may_not_be_repeated_is_not_sent_again_after_an_ambiguous_end() {
+fn non_repeatable_request_is_not_resent_after_an_ambiguous_end() {
     let mut machine = machine(RepeatRule::Never, 3);
     machine.handle(Event::Admitted, NOW);
     let placed = Event::Placed(Placement::Whole(target("engine", 1)));
-    let (attempt, ..) = dispatched(&machine.handle(placed, NOW));
+    let (attempt, ..) = first_dispatch(&machine.handle(placed, NOW));
     let actions = machine.handle(Event::Ambiguous { attempt }, NOW);
-    assert_eq!(finished(&actions), Outcome::Unknown(Failure::ClaimUnsettled));
+    assert_eq!(
+        finish_outcome(&actions),
+        Outcome::Unknown(Failure::ClaimUnsettled)
+    );
 }
 
 #[test]
-fn a_request_that_may_not_be_repeated_goes_elsewhere_after_a_refusal() {
+fn non_repeatable_request_is_retried_after_a_refusal() {
     let mut machine = machine(RepeatRule::Never, 1);
     machine.handle(Event::Admitted, NOW);
     let placed = Event::Placed(Placement::Whole(target("engine", 1)));
-    let (attempt, ..) = dispatched(&machine.handle(placed, NOW));
+    let (attempt, ..) = first_dispatch(&machine.handle(placed, NOW));
     let refused = Event::Refused {
         attempt,
         refusal: refusal(EngineRefusalReason::QueueFull),
@@ -221,11 +224,11 @@
 }
 
 #[test]
-fn a_broken_series_goes_on_behind_the_last_event() {
+fn interrupted_event_stream_resumes_after_the_last_event() {
     let mut machine = machine(RepeatRule::Resumable, 2);
     machine.handle(Event::Admitted, NOW);
     let placed = Event::Placed(Placement::Whole(target("first", 1)));
-    let (attempt, ..) = dispatched(&machine.handle(placed, NOW));
+    let (attempt, ..) = first_dispatch(&machine.handle(placed, NOW));
     for id in [1, 3] {
         let event = Event::Forwarded {
             attempt: attempt.clone(),
@@ -237,23 +240,27 @@
     assert!(matches!(actions.last(), Some(Action::AskRetry { .. })));
     machine.handle(Event::RetryGranted { not_before: NOW }, NOW);
     let placed = Event::Placed(Placement::Whole(target("second", 2)));
-    let (attempt, ..) = dispatched(&machine.handle(placed, NOW));
+    let (attempt, ..) = first_dispatch(&machine.handle(placed, NOW));
     assert_eq!(machine.last_event(), Some(3));
     let event = |id| Event::Forwarded {
         attempt: attempt.clone(),
         part: OpaquePart::Event { id },
     };
-    assert_eq!(machine.handle(event(3), NOW), Vec::new(), "the caller has it");
+    assert_eq!(
+        machine.handle(event(3), NOW),
+        Vec::new(),
+        "the caller has received this event"
+    );
     assert_eq!(machine.handle(event(4), NOW).len(), 1);
 }
 
 #[test]
-fn no_more_engines_run_a_request_than_its_route_allows() {
+fn request_is_run_no_more_often_than_its_route_allows() {
     let mut machine = machine(RepeatRule::Resumable, 2);
     machine.handle(Event::Admitted, NOW);
     for engine in ["first", "second"] {
         let placed = Event::Placed(Placement::Whole(target(engine, 1)));
-        let (attempt, ..) = dispatched(&machine.handle(placed, NOW));
+        let (attempt, ..) = first_dispatch(&machine.handle(placed, NOW));
         machine.handle(
             Event::Opened {
                 attempt: attempt.clone(),
@@ -265,17 +272,17 @@
             assert!(matches!(actions.last(), Some(Action::AskRetry { .. })));
             machine.handle(Event::RetryGranted { not_before: NOW }, NOW);
         } else {
-            assert!(matches!(finished(&actions), Outcome::Unknown(_)));
+            assert!(matches!(finish_outcome(&actions), Outcome::Unknown(_)));
         }
     }
 }
 
 #[test]
-fn a_caller_that_leaves_stops_its_engine() {
+fn caller_disconnect_cancels_the_dispatch() {
     let mut machine = machine(RepeatRule::Never, 1);
     machine.handle(Event::Admitted, NOW);
     let placed = Event::Placed(Placement::Whole(target("engine", 1)));
-    dispatched(&machine.handle(placed, NOW));
+    first_dispatch(&machine.handle(placed, NOW));
     let actions = machine.handle(Event::CallerGone, NOW);
     let cancel = Action::Cancel {
         engine: EngineId::new("engine"),
@@ -284,12 +291,12 @@
 }
 
 #[test]
-fn outputs_that_overloaded_engines_refuse_do_not_cost_the_prompt() {
+fn decode_refusals_by_overloaded_engines_keep_the_prefilled_prompt() {
     let mut machine = machine(RepeatRule::Never, 1);
-    read_prompt(&mut machine);
+    complete_prefill(&mut machine);
     for number in 2..=4 {
         let placed = Event::Placed(Placement::Whole(target(&format!("decode-{number}"), number)));
-        let (attempt, ..) = dispatched(&machine.handle(placed, NOW));
+        let (attempt, ..) = first_dispatch(&machine.handle(placed, NOW));
         let refused = Event::Refused {
             attempt,
             refusal: refusal(EngineRefusalReason::QueueFull),
