--- a/crates/core/src/routing/cache.rs
+++ b/crates/core/src/routing/cache.rs
@@ -1,9 +1,9 @@
-//! What is believed of an engine's prefix cache, from events that come late and with gaps.
+//! Estimate of an engine's prefix cache, built from cache events that may arrive late or with gaps.
 
 use crate::engine::{KvChange, KvEvent};
 use std::collections::HashSet;
 
-/// Blocks that an engine is believed to hold.
+/// Estimated set of blocks in an engine's prefix cache.
 #[derive(Clone, Debug, Default)]
 pub struct CacheEstimate {
     incarnation: u64,
@@ -12,7 +12,8 @@
 }
 
 impl CacheEstimate {
-    /// Applies events of one start of the engine; a gap or a restart drops what was believed before it.
+    /// Applies the events of one incarnation of the engine. A gap in the sequence numbers or a newer incarnation clears the
+    /// estimate; events of an older incarnation are ignored.
     pub fn apply(&mut self, incarnation: u64, events: &[KvEvent]) {
         if incarnation < self.incarnation {
             return;
@@ -23,7 +24,7 @@
         }
     }
 
-    /// Drops everything when the engine has started anew.
+    /// Clears the estimate when `incarnation` is newer than the known one.
     pub fn restart_at(&mut self, incarnation: u64) {
         if incarnation > self.incarnation {
             self.incarnation = incarnation;
@@ -32,24 +33,24 @@
         }
     }
 
-    /// Number of leading blocks of a prompt that are held. Engines drop blocks of a prefix from one of its ends, so
-    /// once the first block is held the boundary is found by bisection.
+    /// Number of leading blocks of a prompt that are cached. Uses bisection, which assumes that engines evict the blocks of
+    /// a prefix from its end.
     pub fn overlap(&self, prompt_blocks: &[u64]) -> usize {
-        let first_held = prompt_blocks
+        let first_cached = prompt_blocks
             .first()
             .is_some_and(|block| self.blocks.contains(block));
-        if !first_held {
+        if !first_cached {
             return 0;
         }
         prompt_blocks.partition_point(|block| self.blocks.contains(block))
     }
 
-    /// Number of blocks believed to be held.
+    /// Number of blocks estimated to be cached.
     pub fn len(&self) -> usize {
         self.blocks.len()
     }
 
-    /// Whether nothing is believed to be held.
+    /// Whether no block is estimated to be cached.
     pub fn is_empty(&self) -> bool {
         self.blocks.is_empty()
     }
--- a/crates/core/src/routing/capacity.rs
+++ b/crates/core/src/routing/capacity.rs
@@ -1,4 +1,4 @@
-//! What some engines can do together, as admission needs it.
+//! Combined capacity and load of a set of engines, for admission control.
 
 use super::view::EngineView;
 use super::weights::RoutingWeights;
@@ -7,12 +7,13 @@
 use crate::service_class::ServiceClass;
 use crate::time::MonotonicTime;
 
-/// Sums over engines; `others` is the work of other gateways that one piece of own unreported work stands for.
+/// Sums over engines. `peer_work_factor` is the amount of unreported work of other gateways that is assumed for each
+/// unit of this gateway's own unreported work.
 pub(super) fn sum<'a>(
     engines: impl Iterator<Item = &'a EngineView>,
     weights: &RoutingWeights,
     gateways: u32,
-    others: f64,
+    peer_work_factor: f64,
     now: MonotonicTime,
 ) -> ModelCapacity {
     let mut capacity = ModelCapacity {
@@ -23,13 +24,13 @@
         requests_at_engines: 0.0,
         gateways,
     };
-    let mut queued = 0.0;
+    let mut queued_tokens = 0.0;
     for view in engines {
         let load = view.load();
-        let queues = view.queues(ServiceClass::Batch, weights, others, now);
+        let queues = view.queues(ServiceClass::Batch, weights, peer_work_factor, now);
         if view.role() != Role::Decode {
             capacity.prefill_tokens_per_second += load.prefill_tokens_per_second as f64;
-            queued += queues.prefill_tokens;
+            queued_tokens += queues.prefill_tokens;
         }
         if view.role() != Role::Prefill {
             capacity.decode_tokens_per_second += load.decode_tokens_per_second as f64;
@@ -38,7 +39,7 @@
         }
     }
     if capacity.prefill_tokens_per_second > 0.0 {
-        capacity.backlog_seconds = queued / capacity.prefill_tokens_per_second;
+        capacity.backlog_seconds = queued_tokens / capacity.prefill_tokens_per_second;
     }
     capacity
 }
--- a/crates/core/src/routing/cost.rs
+++ b/crates/core/src/routing/cost.rs
@@ -1,28 +1,30 @@
-//! The routing cost, in seconds; the candidate with the lowest cost is chosen.
+//! Routing cost in seconds. The router chooses the candidate with the lowest cost.
 //!
-//! With `w` the [`RoutingWeights`], and all speeds divided by the engine's slowness beyond its peers' median:
+//! `w` stands for the [`RoutingWeights`]. Reported speeds are divided by the ratio of the engine's slowness to the median
+//! slowness, where this ratio exceeds one.
 //!
 //! ```text
-//! wait     = queued prompt tokens that go before this class / prefill speed
+//! wait     = queued prompt tokens ahead of this class / prefill speed
 //! compute  = (prompt tokens - w.prefix_overlap * cached tokens) / prefill speed
 //! token    = mean sequences / decode speed * (1 + w.sequence_slowdown * (sequences now - mean sequences))
-//! missing  = requests there beyond w.batch_places, smoothed by the spread of that estimate
-//! place    = missing / w.batch_places * mean output left * token
+//! missing  = requests at the engine in excess of w.batch_places, smoothed
+//! place    = missing / w.batch_places * mean remaining output * token
 //! own      = min(queued prompt tokens / prefill speed, expected output tokens * token)  (mixed engines only)
 //! decode   = expected output tokens * token + place + w.own_stall * own
-//! stall    = compute * decoding sequences           (mixed engines only: prefill delays their tokens)
-//! zone     = w.other_zone_seconds when the engine is not in the gateway's zone
-//! prompt   = waiting(class) * (w.prefill_wait * wait + w.prefill_compute * compute)
+//! stall    = compute * decoding sequences           (mixed engines only)
+//! zone     = w.other_zone_seconds if the engine is outside the gateway's zone
+//! prompt   = delay_cost(class) * (w.prefill_wait * wait + w.prefill_compute * compute)
 //!
 //! whole    = prompt + w.decode_queue * decode + w.stall * stall + zone
 //! split    = prompt at the prefill engine + zone
-//!          + w.transfer * (setup + prompt tokens / transfer speed + zone when the two engines are apart)
+//!          + w.transfer * (setup + prompt tokens / transfer speed + zone if the two engines are in different zones)
 //!          + w.decode_queue * decode at the decode engine
 //! ```
 //!
-//! Queues come from the last report, less what was worked off since, plus what this gateway sent since, once for
-//! itself and `w.alike_choices` times for each other gateway, unless it went there for a cached prefix. A report
-//! loses half of its say every `w.report_half_life_seconds`; the mean of comparable candidates takes the rest.
+//! Queue lengths are those of the last load report, minus the work that the engine has completed since then, plus the
+//! work that this gateway has sent since then. Work that was not routed for a cached prefix is also counted
+//! `w.alike_choices` times for each other gateway. The weight of a report halves every `w.report_half_life_seconds`; the
+//! remaining weight goes to the mean over candidates of the same role.
 
 use super::query::RouteQuery;
 use super::view::{EngineView, QueueEstimate};
@@ -31,44 +33,45 @@
 use crate::identity::EngineId;
 use crate::time::MonotonicTime;
 
-/// Bound on a time between tokens told from a report, in seconds.
-const LONGEST_TOKEN_SECONDS: f64 = 1.0;
+/// Upper bound on the time between tokens derived from a report, in seconds.
+const MAX_TOKEN_SECONDS: f64 = 1.0;
 
-/// Least factor by which a smaller batch than the measured one shortens a step.
-const LEAST_CHANGE: f64 = 0.5;
+/// Lower bound on the factor that scales the step time when the batch is smaller than during measurement.
+const MIN_STEP_FACTOR: f64 = 0.5;
 
-/// Spread of the estimated number of requests at an engine.
+/// Uncertainty of the estimated number of requests at an engine.
 const REQUESTS_SPREAD: f64 = 4.0;
-/// Bound on an exponent, so that it stays finite.
-const LARGEST_EXPONENT: f64 = 50.0;
 
-/// One engine that may take a request, with what its cost depends on.
+/// Upper bound on the exponent, which keeps `exp` finite.
+const MAX_EXPONENT: f64 = 50.0;
+
+/// An engine that may receive a request, with the inputs of its cost.
 #[derive(Clone, Debug)]
 pub struct Candidate<'a> {
-    /// The engine.
+    /// Identifier of the engine.
     pub engine: &'a EngineId,
-    /// The router's view of it.
+    /// Last record, prefix cache estimate and health of the engine.
     pub view: &'a EngineView,
-    /// Prompt tokens it must compute.
+    /// Prompt tokens that the engine must prefill.
     pub uncached_tokens: f64,
-    /// Queues, with a stale report drawn to the mean of the others.
+    /// Estimated queues; [`compare_with_peers`] blends stale reports with the mean of the same role.
     pub queues: QueueEstimate,
     /// Prefill speed, in tokens per second.
     pub prefill_speed: f64,
-    /// Decode speed over the whole batch, in tokens per second.
+    /// Decode speed of the whole batch, in tokens per second.
     pub decode_speed: f64,
-    /// How far the engine is behind its own report.
+    /// Ratio of the observed delays to those expected from the engine's own report.
     pub slowness: f64,
 }
 
 impl<'a> Candidate<'a> {
-    /// Gathers what is known of one engine; slowness and staleness are settled by [`compare_with_peers`].
+    /// Collects the cost inputs of one engine, before the corrections by [`compare_with_peers`].
     pub fn new(
         engine: &'a EngineId,
         view: &'a EngineView,
         query: &RouteQuery,
         weights: &RoutingWeights,
-        others: f64,
+        peer_work_factor: f64,
         now: MonotonicTime,
     ) -> Self {
         let load = view.load();
@@ -76,7 +79,7 @@
             engine,
             view,
             uncached_tokens: uncached_tokens(view, query, weights),
-            queues: view.queues(query.class, weights, others, now),
+            queues: view.queues(query.class, weights, peer_work_factor, now),
             prefill_speed: speed(
                 load.prefill_tokens_per_second,
                 weights.assumed_prefill_tokens_per_second,
@@ -89,32 +92,34 @@
         }
     }
 
-    /// Seconds until the prompt's computation begins.
-    pub fn wait(&self) -> f64 {
+    /// Seconds until prefill of the prompt starts.
+    pub fn prefill_wait_seconds(&self) -> f64 {
         self.queues.prefill_tokens_ahead / self.prefill_speed
     }
 
-    /// Seconds that computing the prompt takes.
-    pub fn compute(&self) -> f64 {
+    /// Seconds that prefill of the prompt takes.
+    pub fn prefill_seconds(&self) -> f64 {
         self.uncached_tokens / self.prefill_speed
     }
 
-    /// Seconds between two tokens of a sequence when one more joins.
+    /// Seconds between two tokens of a sequence after one more sequence has joined the batch.
     pub fn token_seconds(&self, weights: &RoutingWeights) -> f64 {
         let measured = self.view.mean_sequences();
-        let beyond = self.queues.sequences + 1.0 - measured;
-        let change = (1.0 + weights.sequence_slowdown * beyond).max(LEAST_CHANGE);
-        (measured / self.decode_speed).min(LONGEST_TOKEN_SECONDS) * change
+        let excess = self.queues.sequences + 1.0 - measured;
+        let step_factor = (1.0 + weights.sequence_slowdown * excess).max(MIN_STEP_FACTOR);
+        (measured / self.decode_speed).min(MAX_TOKEN_SECONDS) * step_factor
     }
 
-    /// Seconds that the output takes, with the wait for a place in the batch and the delays by prompts beside it.
-    pub fn decode(&self, query: &RouteQuery, weights: &RoutingWeights) -> f64 {
-        let own = f64::from(query.expected_output_tokens) * self.token_seconds(weights);
-        own + self.place_wait(weights) + weights.own_stall * self.own_stall(own)
+    /// Seconds that decoding takes, including the wait for a batch slot and the stalls caused by concurrent prefill.
+    pub fn decode_seconds(&self, query: &RouteQuery, weights: &RoutingWeights) -> f64 {
+        let output_seconds = f64::from(query.expected_output_tokens) * self.token_seconds(weights);
+        output_seconds
+            + self.batch_slot_wait(weights)
+            + weights.own_stall * self.concurrent_prefill_stall(output_seconds)
     }
 
-    /// Seconds for which prompts of others slow the request's own tokens.
-    fn own_stall(&self, output_seconds: f64) -> f64 {
+    /// Seconds during which prefill of other requests slows this request's decoding.
+    fn concurrent_prefill_stall(&self, output_seconds: f64) -> f64 {
         if self.view.role() != Role::Mixed {
             return 0.0;
         }
@@ -122,50 +127,60 @@
         backlog.min(output_seconds)
     }
 
-    /// Seconds until the batch has a place. The estimate of the requests there is off by several, so the wait grows
-    /// smoothly as they come near the places.
-    fn place_wait(&self, weights: &RoutingWeights) -> f64 {
-        let beyond = (self.queues.requests + 1.0 - weights.batch_places) / REQUESTS_SPREAD;
-        let missing = REQUESTS_SPREAD * beyond.min(LARGEST_EXPONENT).exp().ln_1p().max(beyond);
-        let mean_left = self.queues.decode_tokens / self.queues.requests.max(1.0);
-        missing / weights.batch_places * mean_left * self.token_seconds(weights)
+    /// Seconds until a batch slot is free. The number of requests is only an estimate, so the wait grows smoothly while
+    /// that number approaches the batch size.
+    fn batch_slot_wait(&self, weights: &RoutingWeights) -> f64 {
+        let excess = (self.queues.requests + 1.0 - weights.batch_places) / REQUESTS_SPREAD;
+        let missing = REQUESTS_SPREAD * excess.min(MAX_EXPONENT).exp().ln_1p().max(excess);
+        let mean_remaining = self.queues.decode_tokens / self.queues.requests.max(1.0);
+        missing / weights.batch_places * mean_remaining * self.token_seconds(weights)
     }
 
-    /// Cost of running prompt and output here.
-    pub fn whole_cost(&self, query: &RouteQuery, weights: &RoutingWeights) -> f64 {
-        let stall = self.compute() * self.queues.sequences;
-        self.prompt_cost(query, weights)
-            + weights.decode_queue * self.decode(query, weights)
+    /// Cost of running both prefill and decode on this engine.
+    pub fn single_engine_cost(&self, query: &RouteQuery, weights: &RoutingWeights) -> f64 {
+        let stall = self.prefill_seconds() * self.queues.sequences;
+        self.prefill_cost(query, weights)
+            + weights.decode_queue * self.decode_seconds(query, weights)
             + weights.stall * stall
     }
 
-    /// Cost of running the prompt here.
-    pub fn prompt_cost(&self, query: &RouteQuery, weights: &RoutingWeights) -> f64 {
-        let prompt = weights.prefill_wait * self.wait() + weights.prefill_compute * self.compute();
-        weights.waiting(query.class) * prompt + self.zone_cost(query, weights)
+    /// Cost of running prefill on this engine.
+    pub fn prefill_cost(&self, query: &RouteQuery, weights: &RoutingWeights) -> f64 {
+        let prompt = weights.prefill_wait * self.prefill_wait_seconds()
+            + weights.prefill_compute * self.prefill_seconds();
+        weights.delay_cost(query.class) * prompt + self.zone_cost(query, weights)
     }
 
-    /// Cost of running the output here after the prompt ran at `source`.
+    /// Cost of running decode on this engine after prefill on `source`.
     pub fn decode_cost(&self, source: &Candidate<'_>, query: &RouteQuery, weights: &RoutingWeights) -> f64 {
-        weights.transfer * self.transfer(source, query, weights)
-            + weights.decode_queue * self.decode(query, weights)
+        weights.transfer * self.transfer_seconds(source, query, weights)
+            + weights.decode_queue * self.decode_seconds(query, weights)
     }
 
-    /// Seconds that moving the KV cache here takes.
-    pub fn transfer(&self, source: &Candidate<'_>, query: &RouteQuery, weights: &RoutingWeights) -> f64 {
-        let apart = self.view.record.zone != source.view.record.zone;
-        let zone = if apart { weights.other_zone_seconds } else { 0.0 };
+    /// Seconds that the transfer of the KV cache from `source` to this engine takes.
+    pub fn transfer_seconds(
+        &self,
+        source: &Candidate<'_>,
+        query: &RouteQuery,
+        weights: &RoutingWeights,
+    ) -> f64 {
+        let crosses_zones = self.view.record.zone != source.view.record.zone;
+        let zone = if crosses_zones {
+            weights.other_zone_seconds
+        } else {
+            0.0
+        };
         let tokens = f64::from(query.prompt_tokens);
         weights.transfer_setup_seconds + tokens / weights.transfer_tokens_per_second + zone
     }
 
-    /// Whether the engine runs prompts.
-    pub fn runs_prompts(&self) -> bool {
+    /// Whether the engine's role includes prefill.
+    pub fn runs_prefill(&self) -> bool {
         self.view.role() != Role::Decode
     }
 
-    /// Whether the engine runs outputs.
-    pub fn runs_outputs(&self) -> bool {
+    /// Whether the engine's role includes decode.
+    pub fn runs_decode(&self) -> bool {
         self.view.role() != Role::Prefill
     }
 
@@ -178,7 +193,8 @@
     }
 }
 
-/// Corrects speeds by each engine's slowness beyond the median, and draws stale queues to the mean.
+/// Divides speeds by each engine's slowness relative to the median, and blends queues of stale reports with the mean of
+/// the same role.
 pub fn compare_with_peers(candidates: &mut [Candidate<'_>], weights: &RoutingWeights, now: MonotonicTime) {
     if weights.correct_speeds {
         correct_speeds(candidates);
@@ -186,18 +202,18 @@
     let mean = mean_queues(candidates);
     for candidate in candidates {
         let age = now.since(candidate.view.observed_at).as_secs_f64();
-        let say = 0.5_f64.powf(age / weights.report_half_life_seconds);
+        let report_weight = 0.5_f64.powf(age / weights.report_half_life_seconds);
         let index = role_index(candidate.view.role());
-        candidate.queues = blend(candidate.queues, mean[index], say);
+        candidate.queues = blend(candidate.queues, mean[index], report_weight);
     }
 }
 
 fn correct_speeds(candidates: &mut [Candidate<'_>]) {
     let median = median_slowness(candidates);
     for candidate in candidates {
-        let behind = (candidate.slowness / median).max(1.0);
-        candidate.prefill_speed /= behind;
-        candidate.decode_speed /= behind;
+        let relative_slowness = (candidate.slowness / median).max(1.0);
+        candidate.prefill_speed /= relative_slowness;
+        candidate.decode_speed /= relative_slowness;
     }
 }
 
@@ -231,13 +247,14 @@
     sums
 }
 
-fn blend(own: QueueEstimate, mean: QueueEstimate, say: f64) -> QueueEstimate {
+fn blend(own: QueueEstimate, mean: QueueEstimate, report_weight: f64) -> QueueEstimate {
     QueueEstimate {
-        prefill_tokens: say * own.prefill_tokens + (1.0 - say) * mean.prefill_tokens,
-        decode_tokens: say * own.decode_tokens + (1.0 - say) * mean.decode_tokens,
-        prefill_tokens_ahead: say * own.prefill_tokens_ahead + (1.0 - say) * mean.prefill_tokens_ahead,
-        sequences: say * own.sequences + (1.0 - say) * mean.sequences,
-        requests: say * own.requests + (1.0 - say) * mean.requests,
+        prefill_tokens: report_weight * own.prefill_tokens + (1.0 - report_weight) * mean.prefill_tokens,
+        decode_tokens: report_weight * own.decode_tokens + (1.0 - report_weight) * mean.decode_tokens,
+        prefill_tokens_ahead: report_weight * own.prefill_tokens_ahead
+            + (1.0 - report_weight) * mean.prefill_tokens_ahead,
+        sequences: report_weight * own.sequences + (1.0 - report_weight) * mean.sequences,
+        requests: report_weight * own.requests + (1.0 - report_weight) * mean.requests,
     }
 }
 
@@ -255,10 +272,10 @@
         return tokens;
     }
     let overlap = view.cache.overlap(&query.prompt_blocks) as f64;
-    let share = overlap / query.prompt_blocks.len() as f64;
-    tokens * (1.0 - weights.prefix_overlap * share)
+    let cached_share = overlap / query.prompt_blocks.len() as f64;
+    tokens * (1.0 - weights.prefix_overlap * cached_share)
 }
 
-fn speed(reported: u64, assumed: f64) -> f64 {
-    if reported == 0 { assumed } else { reported as f64 }
+fn speed(reported: u64, default: f64) -> f64 {
+    if reported == 0 { default } else { reported as f64 }
 }
--- a/crates/core/src/routing/health.rs
+++ b/crates/core/src/routing/health.rs
@@ -1,107 +1,107 @@
-//! How far an engine's answers fall behind what it reports of itself, and whether it is left alone for a while.
+//! Observed health of one engine: how much slower it is than its own reports suggest, and whether it is in backoff.
 
 use super::slow_start::SlowStart;
 use crate::engine::EngineRefusalReason;
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// Share of a new observation in the running mean.
-const OBSERVATION_SHARE: f64 = 0.2;
-/// Time after which half of an observed slowness is forgotten, so that a recovered engine is tried again.
-const FORGET_HALF_LIFE_SECONDS: f64 = 20.0;
-/// Added to both delays before they are compared, so that tiny ones do not count as slowness.
+/// Weight of a new observation in the exponential moving average.
+const OBSERVATION_WEIGHT: f64 = 0.2;
+/// Half-life of an observed slowness, after which a recovered engine receives load again.
+const SLOWNESS_HALF_LIFE_SECONDS: f64 = 20.0;
+/// Added to both delays before they are compared, so that differences between very short delays do not count.
 const DELAY_FLOOR_SECONDS: f64 = 0.05;
-/// Largest factor by which one observation may count.
-const LARGEST_FACTOR: f64 = 50.0;
-/// First pause after a connection to the engine broke.
-const BROKEN_PAUSE: Duration = Duration::from_millis(500);
-/// First pause after the engine said that its queue is full.
-const QUEUE_FULL_PAUSE: Duration = Duration::from_millis(100);
-/// Pause after a refusal that only a later report can lift.
-const STATE_PAUSE: Duration = Duration::from_millis(1_000);
-/// Longest pause.
-const LONGEST_PAUSE: Duration = Duration::from_secs(15);
-/// Longest pause after the engine said nothing for too long. A machine that was cut off or dark is back without a word, so
-/// one request of the fleet tries it so often.
-const LONGEST_SILENT_PAUSE: Duration = Duration::from_secs(2);
-/// Largest number of doublings of a pause.
-const MOST_DOUBLINGS: u32 = 5;
+/// Upper bound on the slowness factor of one observation.
+const MAX_DELAY_FACTOR: f64 = 50.0;
+/// Initial backoff after a connection failure or a missing response.
+const CONNECTION_FAILURE_BACKOFF: Duration = Duration::from_millis(500);
+/// Initial backoff after the engine reported a full queue.
+const QUEUE_FULL_BACKOFF: Duration = Duration::from_millis(100);
+/// Backoff after a refusal that stems from the engine's state, such as draining.
+const ENGINE_STATE_BACKOFF: Duration = Duration::from_millis(1_000);
+/// Upper bound on any backoff.
+const MAX_BACKOFF: Duration = Duration::from_secs(15);
+/// Upper bound on the backoff after missing responses. A machine that was cut off recovers without notice, so requests
+/// must probe it at this interval.
+const MAX_UNRESPONSIVE_BACKOFF: Duration = Duration::from_secs(2);
+/// Number of consecutive failures after which the backoff no longer doubles.
+const MAX_DOUBLINGS: u32 = 5;
 
 /// Observed health of one engine.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     log_slowness: f64,
     updated_at: MonotonicTime,
-    consecutive_troubles: u32,
-    paused_until: MonotonicTime,
-    /// How load returns after the pause, where the engine is paused because it said nothing.
-    returning: Option<SlowStart>,
+    consecutive_failures: u32,
+    backoff_until: MonotonicTime,
+    /// Slow start after the backoff; present where the backoff was caused by missing responses.
+    slow_start: Option<SlowStart>,
 }
 
 impl Health {
-    /// Records how long something took beside how long the engine's own report promised.
+    /// Records an observed delay together with the delay expected from the engine's own report.
     pub fn observe(&mut self, observed: Duration, expected: Duration, now: MonotonicTime) {
         let factor = delay_factor(observed, expected);
         let current = self.log_slowness_at(now);
-        self.log_slowness = current + OBSERVATION_SHARE * (factor.ln() - current);
+        self.log_slowness = current + OBSERVATION_WEIGHT * (factor.ln() - current);
         self.updated_at = now;
     }
 
-    /// Factor by which the engine is slower than it says; below one when it is faster.
+    /// Factor by which the engine is slower than its reports suggest; below one if it is faster.
     pub fn slowness(&self, now: MonotonicTime) -> f64 {
         self.log_slowness_at(now).exp()
     }
 
-    /// An answer came: the engine works.
+    /// Resets the count of consecutive failures.
     pub fn on_success(&mut self) {
-        self.consecutive_troubles = 0;
+        self.consecutive_failures = 0;
     }
 
-    /// A connection broke or could not be made.
+    /// Starts a backoff after a connection to the engine broke or could not be established.
     pub fn on_connection_failure(&mut self, now: MonotonicTime) {
-        self.pause(BROKEN_PAUSE, now);
+        self.start_backoff(CONNECTION_FAILURE_BACKOFF, now);
     }
 
-    /// The engine said nothing for too long, to this node or another: after a pause load returns step by step. The pause
-    /// that begins, if one does.
+    /// Starts a backoff followed by a slow start after the engine did not respond in time to this node or a peer. Returns the
+    /// length of the backoff, or `None` if the engine is in backoff already.
     pub fn on_unresponsive(&mut self, now: MonotonicTime) -> Option<Duration> {
         if self.is_backing_off(now) {
             return None;
         }
-        self.pause(BROKEN_PAUSE, now);
-        self.paused_until = self.paused_until.min(now + LONGEST_SILENT_PAUSE);
-        self.returning = Some(SlowStart::begin(self.paused_until));
-        Some(self.paused_until.since(now))
+        self.start_backoff(CONNECTION_FAILURE_BACKOFF, now);
+        self.backoff_until = self.backoff_until.min(now + MAX_UNRESPONSIVE_BACKOFF);
+        self.slow_start = Some(SlowStart::begin(self.backoff_until));
+        Some(self.backoff_until.since(now))
     }
 
-    /// The engine has answered another node: if it was left alone because it said nothing, load returns now. True where
-    /// that was so.
+    /// Ends a backoff caused by missing responses after the engine has responded to a peer, and begins the slow start. Returns
+    /// whether there was such a backoff.
     pub fn on_peer_success(&mut self, now: MonotonicTime) -> bool {
-        let returns = self.returning.is_some() && self.is_backing_off(now);
-        if returns {
-            self.consecutive_troubles = 0;
-            self.paused_until = now;
-            self.returning = Some(SlowStart::begin(now));
+        let ends_backoff = self.slow_start.is_some() && self.is_backing_off(now);
+        if ends_backoff {
+            self.consecutive_failures = 0;
+            self.backoff_until = now;
+            self.slow_start = Some(SlowStart::begin(now));
         }
-        returns
+        ends_backoff
     }
 
-    /// Whether a request may go there as far as silence is concerned, by a number drawn for both.
+    /// Whether the slow start admits a request; `drawn` is a number specific to the request and the engine.
     pub fn admits(&self, drawn: u64, now: MonotonicTime) -> bool {
-        self.returning
-            .is_none_or(|returning| returning.admits(drawn, now))
+        self.slow_start
+            .is_none_or(|slow_start| slow_start.admits(drawn, now))
     }
 
-    /// The engine refused to run something.
+    /// Starts a backoff if the reason for the refusal calls for one.
     pub fn on_refusal(&mut self, reason: EngineRefusalReason, now: MonotonicTime) {
         match reason {
-            EngineRefusalReason::QueueFull => self.pause(QUEUE_FULL_PAUSE, now),
+            EngineRefusalReason::QueueFull => self.start_backoff(QUEUE_FULL_BACKOFF, now),
             EngineRefusalReason::Draining
             | EngineRefusalReason::Changing
             | EngineRefusalReason::NotLoaded
             | EngineRefusalReason::WrongRole => {
-                self.paused_until = now + STATE_PAUSE;
-                self.returning = None;
+                self.backoff_until = now + ENGINE_STATE_BACKOFF;
+                self.slow_start = None;
             }
             EngineRefusalReason::TransferGone
             | EngineRefusalReason::UnknownRequest
@@ -109,38 +109,38 @@
         }
     }
 
-    /// A new start of the engine's process wipes what was known of the old one.
+    /// Resets all state after a restart of the engine's process.
     pub fn on_restart(&mut self) {
         *self = Self::default();
     }
 
-    /// Whether the engine is left alone now.
+    /// Whether the engine is avoided at present.
     pub fn is_backing_off(&self, now: MonotonicTime) -> bool {
-        now < self.paused_until
+        now < self.backoff_until
     }
 
-    /// Time for which it is still left alone; absent where it isn't.
+    /// Time until the backoff ends; `None` if the engine is not in backoff.
     pub fn remaining_backoff(&self, now: MonotonicTime) -> Option<Duration> {
-        self.is_backing_off(now).then(|| self.paused_until.since(now))
+        self.is_backing_off(now).then(|| self.backoff_until.since(now))
     }
 
-    fn pause(&mut self, first: Duration, now: MonotonicTime) {
-        let doublings = self.consecutive_troubles.min(MOST_DOUBLINGS);
-        let pause = first.saturating_mul(1 << doublings).min(LONGEST_PAUSE);
-        self.consecutive_troubles = self.consecutive_troubles.saturating_add(1);
-        self.paused_until = now + pause;
-        self.returning = None;
+    fn start_backoff(&mut self, initial: Duration, now: MonotonicTime) {
+        let doublings = self.consecutive_failures.min(MAX_DOUBLINGS);
+        let backoff = initial.saturating_mul(1 << doublings).min(MAX_BACKOFF);
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        self.backoff_until = now + backoff;
+        self.slow_start = None;
     }
 
     fn log_slowness_at(&self, now: MonotonicTime) -> f64 {
         let age = now.since(self.updated_at).as_secs_f64();
-        self.log_slowness * 0.5_f64.powf(age / FORGET_HALF_LIFE_SECONDS)
+        self.log_slowness * 0.5_f64.powf(age / SLOWNESS_HALF_LIFE_SECONDS)
     }
 }
 
-/// Observed delay over expected delay, within bounds.
+/// Ratio of the observed to the expected delay, clamped to a fixed range.
 pub fn delay_factor(observed: Duration, expected: Duration) -> f64 {
     let observed = observed.as_secs_f64() + DELAY_FLOOR_SECONDS;
     let expected = expected.as_secs_f64() + DELAY_FLOOR_SECONDS;
-    (observed / expected).clamp(1.0 / LARGEST_FACTOR, LARGEST_FACTOR)
+    (observed / expected).clamp(1.0 / MAX_DELAY_FACTOR, MAX_DELAY_FACTOR)
 }
--- a/crates/core/src/routing/mod.rs
+++ b/crates/core/src/routing/mod.rs
@@ -1,7 +1,7 @@
-//! Choice of the engine for a request.
+//! Selection of the engines that run a request.
 //!
-//! [`router::KvRouter`] keeps one view per engine, fed by records, cache events and the fate of its own
-//! dispatches, and compares candidates by the cost that [`cost`] documents.
+//! [`router::KvRouter`] maintains one view per engine from membership records, cache events and the outcomes of its own
+//! dispatches. It compares candidates by the cost defined in [`cost`].
 
 pub mod cache;
 pub mod cost;
--- a/crates/core/src/routing/pool/paths.rs
+++ b/crates/core/src/routing/pool/paths.rs
@@ -330,7 +330,7 @@
                 self.phase = Phase::Recovering { returning };
                 Some(self.change(PathState::Recovering, now.since(since)))
             }
-            Phase::Recovering { returning } if returning.is_complete(now) => {
+            Phase::Recovering { returning } if returning.is_over(now) => {
                 self.phase = Phase::Trusted;
                 Some(self.change(PathState::Trusted, returning.elapsed(now)))
             }
--- a/crates/core/src/routing/query.rs
+++ b/crates/core/src/routing/query.rs
@@ -1,4 +1,4 @@
-//! What the router is asked and what it answers.
+//! Queries to the router and its decisions.
 
 use crate::bundle::content::ModelKind;
 use crate::identity::{AdapterId, EngineId, ModelId, ZoneId};
@@ -8,33 +8,33 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// One request that needs an engine.
+/// A request for which the router chooses engines.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteQuery {
     /// Model to run, or application to call.
     pub model: ModelId,
-    /// Adapter on top of the model.
+    /// Adapter applied to the model, if any.
     pub adapter: Option<AdapterId>,
-    /// Kind of back end that serves the model.
+    /// Whether a model engine or an application engine serves the model.
     pub kind: ModelKind,
-    /// Salted hashes of the prompt's blocks, each covering everything before it.
+    /// Salted hashes of the prompt's blocks; each covers all preceding blocks as well.
     pub prompt_blocks: Vec<u64>,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Output tokens that similar requests needed.
+    /// Expected number of output tokens, estimated from similar requests.
     pub expected_output_tokens: u32,
-    /// Class of the request.
+    /// Service class, which decides the priority in engine queues.
     pub class: ServiceClass,
-    /// Zones that may see the request; no engine elsewhere is ever chosen.
+    /// Zones that may process the request; engines in other zones are never chosen.
     pub allowed_zones: Vec<ZoneId>,
-    /// Zone of the gateway that asks.
+    /// Zone of the gateway that sends the query.
     pub home_zone: ZoneId,
-    /// Engines that this request has tried already.
+    /// Engines that have already failed or refused the request.
     pub excluded: Vec<EngineId>,
 }
 
 impl RouteQuery {
-    /// The part of a split request that its prefill engine runs; note that engine's dispatch with it.
+    /// Query for the prefill part of a split request, to record the dispatch to the prefill engine.
     pub fn prefill_query(&self) -> Self {
         Self {
             expected_output_tokens: 0,
@@ -42,8 +42,8 @@
         }
     }
 
-    /// The part of a split request that its decode engine runs; note that engine's dispatch with it, when the KV
-    /// cache is handed over.
+    /// Query for the decode part of a split request, to record the dispatch to the decode engine when the KV cache is
+    /// transferred.
     pub fn decode_query(&self) -> Self {
         Self {
             prompt_tokens: 0,
@@ -53,65 +53,65 @@
     }
 }
 
-/// One engine that was chosen.
+/// A chosen engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteTarget {
-    /// The engine.
+    /// Identifier of the engine.
     pub engine: EngineId,
-    /// Where it listens.
+    /// Address at which the engine accepts requests.
     pub address: SocketAddr,
 }
 
-/// Where a request goes.
+/// Engines that a request is sent to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Route {
-    /// One engine runs prompt and output.
+    /// One engine runs both prefill and decode.
     Whole {
-        /// The engine.
+        /// Identifier of the engine.
         engine: EngineId,
-        /// Where it listens.
+        /// Address at which the engine accepts requests.
         address: SocketAddr,
     },
-    /// One engine runs the prompt; another imports its KV cache and runs the output.
+    /// One engine runs prefill; another one receives its KV cache and runs decode.
     Split {
-        /// Engine for the prompt.
+        /// Engine that runs prefill.
         prefill: RouteTarget,
-        /// Engine for the output.
+        /// Engine that runs decode.
         decode: RouteTarget,
     },
-    /// No engine can take the request now.
+    /// No engine can accept the request now.
     Nowhere(RefusalReason),
 }
 
-/// Receipt of one dispatch, to be handed back when the request moves on; for a split route one per engine.
+/// Identifies one dispatch in later reports about its progress. A split route has one ticket per engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DispatchTicket {
-    /// Position among the dispatches of this router.
+    /// Sequence number among the dispatches of this router.
     pub(crate) number: u64,
-    /// When the request was sent.
+    /// Time at which the request was sent.
     pub sent_at: MonotonicTime,
-    /// Time to the first token that was expected at dispatch.
+    /// Time to first token that was expected at dispatch.
     pub expected_first_token: Duration,
-    /// Prompt tokens that the engine was believed to hold; prefill engines do not tell how many they found.
+    /// Prompt tokens that were expected to be cached; prefill engines do not report how many were.
     pub expected_cached_tokens: u32,
 }
 
-/// What one dispatch came to, as its gateway saw it.
+/// Measurements of a completed dispatch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FinishedWork {
-    /// Output tokens received.
+    /// Number of output tokens received.
     pub output_tokens: u32,
-    /// Time from dispatch to the first part, where one came.
+    /// Time from dispatch to the first part of the output; `None` if the output was empty.
     pub first_token: Option<Duration>,
-    /// Time from dispatch to the end.
+    /// Time from dispatch to the end of the response.
     pub total: Duration,
 }
 
-/// Delays that a request would meet if it were sent now.
+/// Expected delays of a request that is sent now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouteEstimate {
-    /// Time to the first token.
+    /// Time to first token.
     pub first_token: Duration,
-    /// Time to the last token.
+    /// Time to last token.
     pub total: Duration,
 }
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -1,4 +1,4 @@
-//! The router: engine views in, one choice out.
+//! Router that chooses engines by cost.
 
 use super::cost::{Candidate, compare_with_peers};
 use super::query::{DispatchTicket, FinishedWork, Route, RouteEstimate, RouteQuery};
@@ -16,10 +16,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Fewest output tokens from which the time between tokens is judged.
-const FEWEST_OBSERVED_TOKENS: u32 = 8;
+/// Minimum number of output tokens for an observation of the time between tokens.
+const MIN_OBSERVED_TOKENS: u32 = 8;
 
-/// Chooses engines for requests; holds no socket, thread or clock.
+/// Chooses engines for requests. Does no I/O and reads no clock.
 #[derive(Clone, Debug)]
 pub struct KvRouter {
     weights: RoutingWeights,
@@ -29,7 +29,7 @@
 }
 
 impl KvRouter {
-    /// A router that knows no engine yet.
+    /// Creates a router without engines.
     pub fn new(weights: RoutingWeights) -> Self {
         Self {
             weights,
@@ -39,12 +39,12 @@
         }
     }
 
-    /// Sets how many gateways, this one included, share the engines.
+    /// Sets the number of gateways that share the engines, including this one; at min_seconds one.
     pub fn set_gateways(&mut self, gateways: u32) {
         self.gateways = gateways.max(1);
     }
 
-    /// Takes a record of an engine that was observed `age` ago.
+    /// Adds or updates an engine from a membership record that was observed `age` ago.
     pub fn on_engine_record(
         &mut self,
         engine: &EngineId,
@@ -63,19 +63,19 @@
         }
     }
 
-    /// Forgets an engine.
+    /// Removes an engine; does nothing if it is unknown.
     pub fn on_engine_removed(&mut self, engine: &EngineId) {
         self.engines.remove(engine);
     }
 
-    /// Takes cache events of one start of an engine; events of an unknown engine are dropped.
+    /// Applies cache events of one incarnation of an engine; events of an unknown engine are ignored.
     pub fn on_kv_events(&mut self, engine: &EngineId, incarnation: u64, events: &[KvEvent]) {
         if let Some(view) = self.engines.get_mut(engine) {
             view.cache.apply(incarnation, events);
         }
     }
 
-    /// Notes that a request is sent to an engine; for a split route call it once for each of the two engines.
+    /// Records that a request is sent to an engine; to be called once per engine of a split route.
     pub fn on_dispatched(
         &mut self,
         engine: &EngineId,
@@ -87,12 +87,12 @@
         let mut expected_first_token = Duration::ZERO;
         let mut expected_cached_tokens = 0;
         if let Some((engine, view)) = self.engines.get_key_value(engine) {
-            let work = sent_work(engine, view, query, &self.weights, self.others(), now);
+            let work = in_flight_work(engine, view, query, &self.weights, self.peer_work_factor(), now);
             expected_first_token = work.expected_first_token;
             let computed = work.prefill_tokens.min(f64::from(query.prompt_tokens)) as u32;
             expected_cached_tokens = query.prompt_tokens - computed;
             if let Some(view) = self.engines.get_mut(&engine.clone()) {
-                view.sent(number, work);
+                view.record_dispatch(number, work);
             }
         }
         DispatchTicket {
@@ -103,12 +103,12 @@
         }
     }
 
-    /// Notes the first part of an answer (a token, or the end of prefill).
+    /// Records the first part of a response: a token, or the end of prefill.
     pub fn on_first_output(&mut self, engine: &EngineId, ticket: &DispatchTicket, now: MonotonicTime) {
         let Some(view) = self.engines.get_mut(engine) else {
             return;
         };
-        let Some(work) = view.started(ticket.number) else {
+        let Some(work) = view.record_first_output(ticket.number) else {
             return;
         };
         if work.class != ServiceClass::Batch && work.prefill_tokens > 0.0 {
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Notes that an answer ended whole.
+    /// Records the complete end of a response.
     pub fn on_finished(
         &mut self,
         engine: &EngineId,
@@ -129,7 +129,7 @@
             self.on_first_output(engine, ticket, ticket.sent_at + first_token);
         }
         if let Some(view) = self.engines.get_mut(engine) {
-            if let Some(sent) = view.ended(ticket.number) {
+            if let Some(sent) = view.record_end(ticket.number) {
                 observe_tokens(view, &sent, work, now);
             }
             view.health.on_success();
@@ -137,14 +137,14 @@
         debug_assert!(ticket.sent_at <= now, "a dispatch ended before it was sent");
     }
 
-    /// Notes that a dispatch was cancelled by its caller or ended for a cause that is not the engine's.
+    /// Records that a dispatch was cancelled by its caller or ended for a reason unrelated to the engine.
     pub fn on_abandoned(&mut self, engine: &EngineId, ticket: &DispatchTicket) {
         if let Some(view) = self.engines.get_mut(engine) {
-            view.ended(ticket.number);
+            view.record_end(ticket.number);
         }
     }
 
-    /// Notes that an engine refused a dispatch before running it.
+    /// Records that an engine refused a dispatch before running it.
     pub fn on_refused(
         &mut self,
         engine: &EngineId,
@@ -153,21 +153,21 @@
         now: MonotonicTime,
     ) {
         if let Some(view) = self.engines.get_mut(engine) {
-            view.ended(ticket.number);
+            view.record_end(ticket.number);
             view.health.on_refusal(reason, now);
         }
     }
 
-    /// Notes that the connection to an engine broke or could not be made.
+    /// Records that the connection to an engine broke or could not be established.
     pub fn on_broken(&mut self, engine: &EngineId, ticket: &DispatchTicket, now: MonotonicTime) {
         if let Some(view) = self.engines.get_mut(engine) {
-            view.ended(ticket.number);
+            view.record_end(ticket.number);
             view.health.on_connection_failure(now);
         }
     }
 
-    /// Chooses where a request goes. Nothing outside the allowed zones, and nothing that leaves, is drained, changes
-    /// or is not alive, is ever chosen.
+    /// Chooses the engines for a request. Only live engines in the allowed zones are chosen, and none that is leaving,
+    /// draining or being reconfigured.
     pub fn choose(&self, query: &RouteQuery, now: MonotonicTime, random: &mut dyn RngCore) -> Route {
         let mut candidates = self.candidates(query, now);
         if candidates.is_empty() {
@@ -178,55 +178,71 @@
         cheapest(&sampled, query, &self.weights).unwrap_or(Route::Nowhere(RefusalReason::EnginesRefused))
     }
 
-    /// Delays that a request would meet on the best of all engines now; absent when none can take it.
+    /// Lowest expected delays of a request over all engines; `None` if no engine can accept it.
     pub fn estimate(&self, query: &RouteQuery, now: MonotonicTime) -> Option<RouteEstimate> {
         let mut candidates = self.candidates(query, now);
         compare_with_peers(&mut candidates, &self.weights, now);
-        let wait = least(candidates.iter().filter(|one| one.runs_prompts()), |one| {
-            one.wait() + one.compute()
-        })?;
-        let decode = least(candidates.iter().filter(|one| one.runs_outputs()), |one| {
-            f64::from(query.expected_output_tokens) * one.token_seconds(&self.weights)
-        })?;
+        let wait = min_seconds(
+            candidates.iter().filter(|candidate| candidate.runs_prefill()),
+            |candidate| candidate.prefill_wait_seconds() + candidate.prefill_seconds(),
+        )?;
+        let decode = min_seconds(
+            candidates.iter().filter(|candidate| candidate.runs_decode()),
+            |candidate| f64::from(query.expected_output_tokens) * candidate.token_seconds(&self.weights),
+        )?;
         Some(RouteEstimate {
             first_token: Duration::from_secs_f64(wait),
             total: Duration::from_secs_f64(wait + decode),
         })
     }
 
-    /// What the engines that hold a model can do and have to do, for the admission of one gateway among several.
+    /// Combined capacity and load of the engines that serve a model, for admission control at this gateway.
     pub fn capacity(&self, model: &ModelId, now: MonotonicTime) -> ModelCapacity {
         let serving = self
             .engines
             .values()
             .filter(|view| view.accepts_new_work() && view.holds_model(model));
-        super::capacity::sum(serving, &self.weights, self.gateways, self.others(), now)
+        super::capacity::sum(
+            serving,
+            &self.weights,
+            self.gateways,
+            self.peer_work_factor(),
+            now,
+        )
     }
 
-    /// The router's view of an engine.
+    /// View of an engine; `None` if it is unknown.
     pub fn engine(&self, engine: &EngineId) -> Option<&EngineView> {
         self.engines.get(engine)
     }
 
-    /// All engines known, by identifier.
+    /// All known engines, ordered by identifier.
     pub fn engines(&self) -> impl Iterator<Item = (&EngineId, &EngineView)> {
         self.engines.iter()
     }
 
-    /// Pieces of other gateways' work that one piece of own unreported work stands for.
-    fn others(&self) -> f64 {
+    /// Amount of unreported work of other gateways that is assumed for each unit of own unreported work.
+    fn peer_work_factor(&self) -> f64 {
         self.weights.alike_choices * f64::from(self.gateways - 1)
     }
 
     fn candidates<'a>(&'a self, query: &RouteQuery, now: MonotonicTime) -> Vec<Candidate<'a>> {
         self.engines
             .iter()
-            .filter(|(engine, view)| self.may_take(engine, view, query, now))
-            .map(|(engine, view)| Candidate::new(engine, view, query, &self.weights, self.others(), now))
+            .filter(|(engine, view)| self.is_eligible(engine, view, query, now))
+            .map(|(engine, view)| {
+                Candidate::new(engine, view, query, &self.weights, self.peer_work_factor(), now)
+            })
             .collect()
     }
 
-    fn may_take(&self, engine: &EngineId, view: &EngineView, query: &RouteQuery, now: MonotonicTime) -> bool {
+    fn is_eligible(
+        &self,
+        engine: &EngineId,
+        view: &EngineView,
+        query: &RouteQuery,
+        now: MonotonicTime,
+    ) -> bool {
         query.allowed_zones.contains(&view.record.zone)
             && view.accepts_new_work()
             && view.serves(query)
@@ -247,53 +263,53 @@
     }
 }
 
-fn sent_work(
+fn in_flight_work(
     engine: &EngineId,
     view: &EngineView,
     query: &RouteQuery,
     weights: &RoutingWeights,
-    others: f64,
+    peer_work_factor: f64,
     now: MonotonicTime,
 ) -> InFlightWork {
-    let candidate = Candidate::new(engine, view, query, weights, others, now);
-    let prefill_tokens = if candidate.runs_prompts() {
+    let candidate = Candidate::new(engine, view, query, weights, peer_work_factor, now);
+    let prefill_tokens = if candidate.runs_prefill() {
         candidate.uncached_tokens
     } else {
         0.0
     };
     let expected_output = f64::from(query.expected_output_tokens);
-    let decode_tokens = if candidate.runs_outputs() {
+    let decode_tokens = if candidate.runs_decode() {
         expected_output
     } else {
         0.0
     };
-    let expected = candidate.wait() + prefill_tokens / candidate.prefill_speed;
+    let expected = candidate.prefill_wait_seconds() + prefill_tokens / candidate.prefill_speed;
     InFlightWork {
         sent_at: now,
         prefill_tokens,
         decode_tokens,
         expected_first_token: Duration::from_secs_f64(expected),
         expected_token: Duration::from_secs_f64(candidate.token_seconds(weights)),
-        started: false,
-        cached_part: cached_part(&candidate, query),
+        has_started: false,
+        cached_fraction: cached_fraction(&candidate, query),
         class: query.class,
-        reported: false,
+        is_reported: false,
     }
 }
 
-fn cached_part(candidate: &Candidate<'_>, query: &RouteQuery) -> f64 {
+fn cached_fraction(candidate: &Candidate<'_>, query: &RouteQuery) -> f64 {
     if query.prompt_tokens == 0 {
         return 0.0;
     }
     1.0 - candidate.uncached_tokens / f64::from(query.prompt_tokens)
 }
 
-/// Compares the time between tokens with what the engine's report promised; too few tokens say too little.
+/// Records the time between tokens against the one expected from the engine's report.
 fn observe_tokens(view: &mut EngineView, sent: &InFlightWork, work: &FinishedWork, now: MonotonicTime) {
     let Some(first_token) = work.first_token else {
         return;
     };
-    if work.output_tokens < FEWEST_OBSERVED_TOKENS {
+    if work.output_tokens < MIN_OBSERVED_TOKENS {
         return;
     }
     let gaps = work.output_tokens - 1;
@@ -301,7 +317,7 @@
     view.health.observe(observed, sent.expected_token * gaps, now);
 }
 
-fn least<'c, 'a: 'c>(
+fn min_seconds<'c, 'a: 'c>(
     candidates: impl Iterator<Item = &'c Candidate<'a>>,
     seconds: impl Fn(&Candidate<'a>) -> f64,
 ) -> Option<f64> {
--- a/crates/core/src/routing/selection.rs
+++ b/crates/core/src/routing/selection.rs
@@ -1,4 +1,4 @@
-//! Which candidates are compared, and the cheapest route over them.
+//! Sampling of candidates and selection of the cheapest route.
 
 use super::cost::Candidate;
 use super::query::{Route, RouteQuery, RouteTarget};
@@ -6,11 +6,11 @@
 use crate::engine::Role;
 use rand::{Rng, RngCore};
 
-/// Random members of a large candidate set that are compared.
+/// Number of random candidates of each role in the sample of a large candidate set.
 const RANDOM_CANDIDATES: usize = 2;
 
-/// Candidates that are compared: all of a small set; of a large one two random members and the best prefix holder of
-/// each role.
+/// Selects the candidates to compare: all of a small set; of a large set, for each role, the candidate with the longest cached
+/// prefix and two random ones.
 pub(super) fn sample<'a>(
     mut candidates: Vec<Candidate<'a>>,
     compare_all_up_to: usize,
@@ -21,33 +21,38 @@
     }
     let mut sampled = Vec::new();
     for role in [Role::Prefill, Role::Decode, Role::Mixed] {
-        let (mut same, rest): (Vec<_>, Vec<_>) =
-            candidates.into_iter().partition(|one| one.view.role() == role);
-        candidates = rest;
-        sample_role(&mut same, &mut sampled, random);
+        let (mut same_role, other_roles): (Vec<_>, Vec<_>) = candidates
+            .into_iter()
+            .partition(|candidate| candidate.view.role() == role);
+        candidates = other_roles;
+        sample_role(&mut same_role, &mut sampled, random);
     }
     sampled
 }
 
-/// The cheapest route over the candidates; absent when no whole request can be served.
+/// Cheapest route over the candidates; `None` if they can't run both prefill and decode.
 pub(super) fn cheapest(
     candidates: &[Candidate<'_>],
     query: &RouteQuery,
     weights: &RoutingWeights,
 ) -> Option<Route> {
-    let whole = candidates
+    let single = candidates
         .iter()
-        .filter(|one| one.view.role() == Role::Mixed)
-        .map(|one| (one.whole_cost(query, weights), one))
+        .filter(|candidate| candidate.view.role() == Role::Mixed)
+        .map(|candidate| (candidate.single_engine_cost(query, weights), candidate))
         .min_by(|left, right| left.0.total_cmp(&right.0));
     let split = cheapest_split(candidates, query, weights);
-    match (whole, split) {
-        (Some((whole_cost, one)), Some((split_cost, _, _))) if whole_cost <= split_cost => whole_route(one),
+    match (single, split) {
+        (Some((single_engine_cost, candidate)), Some((split_cost, _, _)))
+            if single_engine_cost <= split_cost =>
+        {
+            single_route(candidate)
+        }
         (_, Some((_, prefill, decode))) => Some(Route::Split {
             prefill: target(prefill)?,
             decode: target(decode)?,
         }),
-        (Some((_, one)), None) => whole_route(one),
+        (Some((_, candidate)), None) => single_route(candidate),
         (None, None) => None,
     }
 }
@@ -58,13 +63,13 @@
     weights: &RoutingWeights,
 ) -> Option<(f64, &'c Candidate<'a>, &'c Candidate<'a>)> {
     let mut best: Option<(f64, &Candidate<'_>, &Candidate<'_>)> = None;
-    for prefill in candidates.iter().filter(|one| one.runs_prompts()) {
-        let prompt_cost = prefill.prompt_cost(query, weights);
-        for decode in candidates.iter().filter(|one| one.runs_outputs()) {
+    for prefill in candidates.iter().filter(|candidate| candidate.runs_prefill()) {
+        let prefill_cost = prefill.prefill_cost(query, weights);
+        for decode in candidates.iter().filter(|candidate| candidate.runs_decode()) {
             if prefill.view.role() == Role::Mixed && decode.view.role() == Role::Mixed {
                 continue;
             }
-            let cost = prompt_cost + decode.decode_cost(prefill, query, weights);
+            let cost = prefill_cost + decode.decode_cost(prefill, query, weights);
             if best.is_none_or(|(lowest, _, _)| cost < lowest) {
                 best = Some((cost, prefill, decode));
             }
@@ -73,18 +78,18 @@
     best
 }
 
-/// Moves the two random members and the best prefix holder of one role into the sample.
+/// Moves the candidate with the longest cached prefix and two random candidates into the sample.
 fn sample_role<'a>(
     candidates: &mut Vec<Candidate<'a>>,
     sampled: &mut Vec<Candidate<'a>>,
     random: &mut dyn RngCore,
 ) {
-    let holder = candidates
+    let best_cached = candidates
         .iter()
         .enumerate()
         .min_by(|left, right| left.1.uncached_tokens.total_cmp(&right.1.uncached_tokens))
         .map(|(index, _)| index);
-    if let Some(index) = holder {
+    if let Some(index) = best_cached {
         sampled.push(candidates.swap_remove(index));
     }
     for _ in 0..RANDOM_CANDIDATES {
@@ -96,7 +101,7 @@
     }
 }
 
-fn whole_route(candidate: &Candidate<'_>) -> Option<Route> {
+fn single_route(candidate: &Candidate<'_>) -> Option<Route> {
     Some(Route::Whole {
         engine: candidate.engine.clone(),
         address: candidate.view.address()?,
--- a/crates/core/src/routing/slow_start.rs
+++ b/crates/core/src/routing/slow_start.rs
@@ -1,32 +1,31 @@
-//! How load returns to what was left alone: step by step, so that what is not yet well again meets few requests.
+//! Gradual return of load to an engine or network path that was avoided, so that few requests fail if it has not
+//! recovered.
 
 use crate::membership::subject::mix;
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// Part of the requests that goes there at once: one in ten shows within a second whether answers come, and costs the
-/// callers of the other nine nothing if none do.
+/// Fraction of the requests that is admitted from the start.
 const FIRST_PART: f64 = 0.1;
 
-/// Time until all may go there again. An engine that had been dark and is given everything at once has a queue before
-/// its first answer tells of it; a second is several answers long.
-const RETURNS_WITHIN: Duration = Duration::from_millis(1_000);
+/// Time until all requests are admitted. Full load at once would build a queue before the first response reports it.
+const SLOW_START_DURATION: Duration = Duration::from_millis(1_000);
 
-/// A return that has begun.
+/// A slow start that has begun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlowStart {
     since: MonotonicTime,
 }
 
 impl SlowStart {
-    /// Begins now.
+    /// Starts at `now`, which may lie in the future.
     pub fn begin(now: MonotonicTime) -> Self {
         Self { since: now }
     }
 
     /// Part of the requests that may go there; one when the return is over.
     pub fn admitted_fraction(self, now: MonotonicTime) -> f64 {
-        let passed = self.elapsed(now).as_secs_f64() / RETURNS_WITHIN.as_secs_f64();
+        let passed = self.elapsed(now).as_secs_f64() / SLOW_START_DURATION.as_secs_f64();
         (FIRST_PART + (1.0 - FIRST_PART) * passed).min(1.0)
     }
 
@@ -35,12 +34,12 @@
         now.since(self.since)
     }
 
-    /// Whether all may go there again.
-    pub fn is_complete(self, now: MonotonicTime) -> bool {
-        self.elapsed(now) >= RETURNS_WITHIN
+    /// Whether all requests are admitted.
+    pub fn is_over(self, now: MonotonicTime) -> bool {
+        self.elapsed(now) >= SLOW_START_DURATION
     }
 
-    /// Whether a request may go there, by a number drawn for the request and the place.
+    /// Whether a request is admitted; `drawn` is a number specific to the request and its target.
     pub fn admits(self, drawn: u64, now: MonotonicTime) -> bool {
         let fraction = mix(drawn) as f64 / u64::MAX as f64;
         fraction < self.admitted_fraction(now)
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -1,4 +1,4 @@
-//! What the router believes of one engine.
+//! The router's view of one engine: its last report, plus the work sent since then.
 
 use super::cache::CacheEstimate;
 use super::health::{Health, delay_factor};
@@ -15,81 +15,82 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A request counts as overdue once it has waited this many times longer than expected.
+/// Multiple of the expected time to first token after which a request is overdue.
 const OVERDUE_FACTOR: u32 = 3;
-/// Waiting below this is never overdue; covers the lag of reports and the turns of other classes.
-const OVERDUE_FLOOR: Duration = Duration::from_secs(2);
+/// Minimum wait of an overdue request; covers the delay of reports and the scheduling of other classes.
+const MIN_OVERDUE_WAIT: Duration = Duration::from_secs(2);
 
-/// Share of a report in the mean number of decoding sequences, about the window over which engines measure speed.
-const SEQUENCES_SHARE: f64 = 0.2;
-/// Sequences assumed behind a decode speed that was reported before any decoding was seen.
-const ASSUMED_SEQUENCES: f64 = 12.0;
+/// Weight of a new report in the moving average of decoding sequences; matches the window over which engines measure
+/// their speed.
+const SEQUENCES_WEIGHT: f64 = 0.2;
+/// Initial average of decoding sequences, before a report with active sequences.
+const DEFAULT_SEQUENCES: f64 = 12.0;
 
-/// Work handed to an engine by this router that has not ended.
+/// A dispatch of this router to an engine that has not ended.
 #[derive(Clone, Debug)]
 pub struct InFlightWork {
-    /// When it was sent.
+    /// Time of the dispatch.
     pub sent_at: MonotonicTime,
-    /// Prompt tokens that must be computed; zero once the first part came.
+    /// Prompt tokens that remain to be prefilled; zero once the first part of the response has arrived.
     pub prefill_tokens: f64,
-    /// Output tokens expected.
+    /// Expected number of output tokens.
     pub decode_tokens: f64,
-    /// Delay to the first part that was expected.
+    /// Time to first token that was expected at dispatch.
     pub expected_first_token: Duration,
-    /// Time between tokens that was expected.
+    /// Time between tokens that was expected at dispatch.
     pub expected_token: Duration,
-    /// Whether the first part came.
-    pub started: bool,
-    /// Part of the prompt that the engine was believed to hold.
-    pub cached_part: f64,
-    /// Class.
+    /// Whether the first part of the response has arrived.
+    pub has_started: bool,
+    /// Fraction of the prompt that was expected to be in the engine's prefix cache.
+    pub cached_fraction: f64,
+    /// Service class of the request.
     pub class: ServiceClass,
-    /// Whether a load report may include it already.
-    pub reported: bool,
+    /// Whether the last load report may include the dispatch.
+    pub is_reported: bool,
 }
 
-/// Queues of one engine in tokens, estimated for now.
+/// Current queues of one engine, estimated from its last report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct QueueEstimate {
-    /// Prompt tokens that wait.
+    /// Prompt tokens that wait for prefill.
     pub prefill_tokens: f64,
-    /// Output tokens still to come.
+    /// Output tokens that remain to be decoded.
     pub decode_tokens: f64,
-    /// Part of those prompt tokens that goes before a request of the class that is asked for.
+    /// Prompt tokens that are scheduled before a request of the given class.
     pub prefill_tokens_ahead: f64,
-    /// Sequences that decode.
+    /// Number of decoding sequences.
     pub sequences: f64,
-    /// Requests that run or wait.
+    /// Number of running and waiting requests.
     pub requests: f64,
 }
 
-/// One engine as the router sees it.
+/// Last record of an engine, and what this router has observed and sent since.
 #[derive(Clone, Debug)]
 pub struct EngineView {
-    /// Last record.
+    /// Last membership record.
     pub record: EngineRecord,
-    /// When the state in the record was observed.
+    /// Time at which the state in the record was observed.
     pub observed_at: MonotonicTime,
-    /// Prefixes it is believed to hold.
+    /// Estimated content of its prefix cache.
     pub cache: CacheEstimate,
-    /// How it keeps what it reports.
+    /// Observed slowness and backoff.
     pub health: Health,
     mean_sequences: f64,
-    sent: BTreeMap<u64, InFlightWork>,
+    dispatches: BTreeMap<u64, InFlightWork>,
     unreported: Unreported,
 }
 
-/// Sums over the work sent that no load report may include yet.
+/// Sums over the dispatches that no load report includes yet.
 #[derive(Clone, Copy, Debug, Default)]
 struct Unreported {
     own: UnreportedSum,
-    /// The part that any gateway would have sent there: not what went there for its cached prefix.
-    alike: UnreportedSum,
+    /// The part that other gateways are likely to have sent as well: without work routed for a cached prefix.
+    cache_independent: UnreportedSum,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct UnreportedSum {
-    /// Prompt tokens by class.
+    /// Prompt tokens by service class.
     prefill: [f64; 3],
     decode: f64,
     requests: f64,
@@ -98,18 +99,19 @@
 impl Unreported {
     fn add(&mut self, work: &InFlightWork) {
         self.own.add(work, 1.0);
-        self.alike.add(work, 1.0 - work.cached_part);
+        self.cache_independent.add(work, 1.0 - work.cached_fraction);
     }
 
     fn remove(&mut self, work: &InFlightWork) {
         self.remove_prefill(work);
         self.own.remove(work, 1.0);
-        self.alike.remove(work, 1.0 - work.cached_part);
+        self.cache_independent.remove(work, 1.0 - work.cached_fraction);
     }
 
     fn remove_prefill(&mut self, work: &InFlightWork) {
         self.own.remove_prefill(work, 1.0);
-        self.alike.remove_prefill(work, 1.0 - work.cached_part);
+        self.cache_independent
+            .remove_prefill(work, 1.0 - work.cached_fraction);
     }
 }
 
@@ -139,13 +141,13 @@
             observed_at,
             cache: CacheEstimate::default(),
             health: Health::default(),
-            mean_sequences: ASSUMED_SEQUENCES,
-            sent: BTreeMap::new(),
+            mean_sequences: DEFAULT_SEQUENCES,
+            dispatches: BTreeMap::new(),
             unreported: Unreported::default(),
         }
     }
 
-    /// Takes a newer record; a new start of the engine forgets what its last one held and owed.
+    /// Updates the record. A newer incarnation of the engine clears the prefix cache, health and dispatches.
     pub fn update(&mut self, record: EngineRecord, observed_at: MonotonicTime, lag: Duration) {
         let before = self.incarnation();
         self.record = record;
@@ -154,26 +156,26 @@
         if after > before {
             self.cache.restart_at(after);
             self.health.on_restart();
-            self.sent.clear();
+            self.dispatches.clear();
         }
         self.recount_unreported(observed_at - lag);
         let sequences = f64::from(self.load().active_sequences);
         if sequences > 0.0 {
-            self.mean_sequences += (sequences - self.mean_sequences) * SEQUENCES_SHARE;
+            self.mean_sequences += (sequences - self.mean_sequences) * SEQUENCES_WEIGHT;
         }
     }
 
-    /// Sequences that decoded together, on average, while the reported decode speed was measured.
+    /// Average number of concurrent sequences while the reported decode speed was measured.
     pub fn mean_sequences(&self) -> f64 {
         self.mean_sequences
     }
 
-    /// Last status, once there is one.
+    /// Last reported status; `None` before the first one.
     pub fn status(&self) -> Option<&EngineStatus> {
         self.record.status.as_ref()
     }
 
-    /// Where the engine listens; absent for a record that describes no engine.
+    /// Address at which the engine accepts requests; `None` if the record describes a node.
     pub fn address(&self) -> Option<SocketAddr> {
         match self.record.service {
             MachineService::ModelEngine { address } | MachineService::ApplicationEngine { address } => {
@@ -183,36 +185,36 @@
         }
     }
 
-    /// Present role; mixed before the first status.
+    /// Reported role; mixed before the first status.
     pub fn role(&self) -> Role {
         self.status().map_or(Role::Mixed, |status| status.role)
     }
 
-    /// Load of the last report.
+    /// Last reported load; zero before the first status.
     pub fn load(&self) -> LoadReport {
         self.status().map(|status| status.load).unwrap_or_default()
     }
 
-    /// Whether the engine holds the weights that a query needs and is of the right kind.
+    /// Whether the engine has loaded the model and adapter of a query and is of the right kind.
     pub fn serves(&self, query: &RouteQuery) -> bool {
-        let right_kind = match self.record.service {
+        let kind_matches = match self.record.service {
             MachineService::ModelEngine { .. } => query.kind == ModelKind::Model,
             MachineService::ApplicationEngine { .. } => query.kind == ModelKind::Application,
             MachineService::Node { .. } => false,
         };
-        right_kind
+        kind_matches
             && self
                 .status()
-                .is_some_and(|status| status.weights.iter().any(|weights| holds(weights, query)))
+                .is_some_and(|status| status.weights.iter().any(|weights| has_loaded(weights, query)))
     }
 
-    /// Whether the engine holds any weights of a model.
+    /// Whether the engine has loaded any version of a model.
     pub fn holds_model(&self, model: &ModelId) -> bool {
         self.status()
             .is_some_and(|status| status.weights.iter().any(|weights| weights.model == *model))
     }
 
-    /// Whether new work may go there at all: it answers, stays, and is neither drained nor in a change.
+    /// Whether the engine is alive and neither leaving, draining nor being reconfigured.
     pub fn accepts_new_work(&self) -> bool {
         self.record.liveness == Liveness::Alive
             && self.record.machine_state == MachineState::Live
@@ -221,44 +223,45 @@
                 .is_some_and(|status| !status.draining && !status.changing)
     }
 
-    /// Notes work that was just sent.
-    pub fn sent(&mut self, number: u64, work: InFlightWork) {
+    /// Records a dispatch.
+    pub fn record_dispatch(&mut self, number: u64, work: InFlightWork) {
         self.unreported.add(&work);
-        self.sent.insert(number, work);
+        self.dispatches.insert(number, work);
     }
 
-    /// Notes the first part of an answer; gives the work as it was when that is news.
-    pub fn started(&mut self, number: u64) -> Option<InFlightWork> {
-        let work = self.sent.get_mut(&number)?;
-        if work.started {
+    /// Records the first part of a response. Returns the dispatch as it was before, or `None` if it is unknown or has already
+    /// started.
+    pub fn record_first_output(&mut self, number: u64) -> Option<InFlightWork> {
+        let work = self.dispatches.get_mut(&number)?;
+        if work.has_started {
             return None;
         }
         let before = work.clone();
-        work.started = true;
+        work.has_started = true;
         work.prefill_tokens = 0.0;
-        if !before.reported {
+        if !before.is_reported {
             self.unreported.remove_prefill(&before);
         }
         Some(before)
     }
 
-    /// Notes the end of a dispatch.
-    pub fn ended(&mut self, number: u64) -> Option<InFlightWork> {
-        let work = self.sent.remove(&number)?;
-        if !work.reported {
+    /// Removes a dispatch that has ended; `None` if it is unknown.
+    pub fn record_end(&mut self, number: u64) -> Option<InFlightWork> {
+        let work = self.dispatches.remove(&number)?;
+        if !work.is_reported {
             self.unreported.remove(&work);
         }
         Some(work)
     }
 
-    /// Queues now as a request of a class meets them: the last report, less what was worked off since, plus what
-    /// was sent since. Other gateways see the same reports and choose alike, so each piece of own work that is not
-    /// reported yet and did not go there for its cached prefix stands for `others` further pieces.
+    /// Current queues as seen by a request of a class: the last report, minus the work completed since, plus the work sent
+    /// since. Other gateways see the same reports and make similar choices, so own unreported work that was not routed for
+    /// a cached prefix is counted `peer_work_factor` times more.
     pub fn queues(
         &self,
         class: ServiceClass,
         weights: &RoutingWeights,
-        others: f64,
+        peer_work_factor: f64,
         now: MonotonicTime,
     ) -> QueueEstimate {
         let load = self.load();
@@ -267,22 +270,25 @@
         let decode_done = age * load.decode_tokens_per_second as f64;
         let prefill = (load.queued_prefill_tokens as f64 - prefill_done).max(0.0);
         let decode = (load.queued_decode_tokens as f64 - decode_done).max(0.0);
-        let decode_left = decode / (load.queued_decode_tokens as f64).max(1.0);
+        let remaining_fraction = decode / (load.queued_decode_tokens as f64).max(1.0);
         let mut queues = QueueEstimate {
             prefill_tokens: prefill,
-            prefill_tokens_ahead: prefill * weights.queue_ahead(class),
+            prefill_tokens_ahead: prefill * weights.queue_ahead_fraction(class),
             decode_tokens: decode,
             sequences: f64::from(load.active_sequences),
-            requests: f64::from(load.requests_in_flight) * decode_left,
+            requests: f64::from(load.requests_in_flight) * remaining_fraction,
         };
         if weights.count_sent_work {
-            self.add_unreported(class, others, &mut queues);
+            self.add_unreported(class, peer_work_factor, &mut queues);
         }
         queues
     }
 
-    fn add_unreported(&self, class: ServiceClass, others: f64, queues: &mut QueueEstimate) {
-        for (sum, times) in [(&self.unreported.own, 1.0), (&self.unreported.alike, others)] {
+    fn add_unreported(&self, class: ServiceClass, peer_work_factor: f64, queues: &mut QueueEstimate) {
+        for (sum, times) in [
+            (&self.unreported.own, 1.0),
+            (&self.unreported.cache_independent, peer_work_factor),
+        ] {
             let ahead: f64 = sum.prefill[..=class.index()].iter().sum();
             queues.prefill_tokens += times * sum.prefill.iter().sum::<f64>();
             queues.prefill_tokens_ahead += times * ahead;
@@ -292,17 +298,17 @@
         }
     }
 
-    /// Factor by which the engine is slower than it reports, with requests that are overdue counted already.
+    /// Factor by which the engine is slower than its reports suggest, taking overdue requests into account.
     pub fn slowness(&self, now: MonotonicTime) -> f64 {
         let observed = self.health.slowness(now);
-        let Some(oldest) = self.sent.values().find(|work| !work.started) else {
+        let Some(oldest) = self.dispatches.values().find(|work| !work.has_started) else {
             return observed;
         };
         let waited = now.since(oldest.sent_at);
         let limit = oldest
             .expected_first_token
             .saturating_mul(OVERDUE_FACTOR)
-            .max(OVERDUE_FLOOR);
+            .max(MIN_OVERDUE_WAIT);
         if waited <= limit || oldest.class == ServiceClass::Batch {
             return observed;
         }
@@ -315,16 +321,16 @@
 
     fn recount_unreported(&mut self, cutoff: MonotonicTime) {
         self.unreported = Unreported::default();
-        for work in self.sent.values_mut() {
-            work.reported = work.reported || work.sent_at <= cutoff;
-            if !work.reported {
+        for work in self.dispatches.values_mut() {
+            work.is_reported = work.is_reported || work.sent_at <= cutoff;
+            if !work.is_reported {
                 self.unreported.add(work);
             }
         }
     }
 }
 
-fn holds(weights: &LoadedWeights, query: &RouteQuery) -> bool {
+fn has_loaded(weights: &LoadedWeights, query: &RouteQuery) -> bool {
     weights.model == query.model
         && query
             .adapter
--- a/crates/core/src/routing/weights.rs
+++ b/crates/core/src/routing/weights.rs
@@ -1,61 +1,62 @@
-//! Settings of the routing cost.
+//! Settings of the routing cost and their validation.
 
 use crate::service_class::ServiceClass;
 use crate::setting::FieldError;
 use serde::{Deserialize, Serialize};
 
-/// Weights of the cost in [`super::cost`]; each is dimensionless unless it says otherwise.
+/// Settings of the cost in [`super::cost`]. Values without a unit in their name are dimensionless.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RoutingWeights {
-    /// Worth of a second until the prompt's computation begins.
+    /// Cost of a second of waiting for prefill to start.
     pub prefill_wait: f64,
-    /// Worth of a second of computing the part of the prompt that is not cached.
+    /// Cost of a second of prefill of the uncached part of the prompt.
     pub prefill_compute: f64,
-    /// Worth of a second of decode work that stands before or beside the request.
+    /// Cost of a second of decoding, including the wait for a batch slot.
     pub decode_queue: f64,
-    /// Worth of a second by which computing the prompt delays the tokens of one decoding sequence.
+    /// Cost of a second by which prefill of this request delays one decoding sequence.
     pub stall: f64,
-    /// Worth of a second that moving the KV cache takes.
+    /// Cost of a second of KV cache transfer.
     pub transfer: f64,
-    /// Cost of leaving the gateway's zone, in seconds.
+    /// Cost of using an engine outside the gateway's zone, in seconds.
     pub other_zone_seconds: f64,
-    /// How much a prefix that is held counts, from zero (ignored) to one (in full).
+    /// Weight of cached prefixes, from zero (ignored) to one (all cached tokens count).
     pub prefix_overlap: f64,
-    /// Worth of waiting for a batch request, relative to an interactive one.
+    /// Cost of a delay for a batch request, relative to an interactive one.
     pub batch_waiting: f64,
-    /// Worth of waiting for a standard request, relative to an interactive one.
+    /// Cost of a delay for a standard request, relative to an interactive one.
     pub standard_waiting: f64,
-    /// Age at which a load report counts half, in seconds; the rest is the mean of comparable engines.
+    /// Time in which the weight of a load report halves, in seconds; the remaining weight goes to the mean of engines with the
+    /// same role.
     pub report_half_life_seconds: f64,
-    /// Delay between an engine's load and its report, assumed beyond the record's own age, in seconds.
+    /// Assumed delay between an engine's load and its report, in addition to the record's age, in seconds.
     pub report_lag_seconds: f64,
-    /// Whether work sent since the last report is added to it.
+    /// Whether work sent since the last report is added to the reported queues.
     pub count_sent_work: bool,
-    /// Whether observed delays correct an engine's reported speeds.
+    /// Whether reported speeds are corrected by observed delays.
     pub correct_speeds: bool,
-    /// Candidate sets up to this size are compared whole; larger ones by two random members and prefix holders.
+    /// Maximum number of candidates that are all compared; larger sets are sampled.
     pub compare_all_up_to: usize,
-    /// Part of a reported prefill queue that goes before an interactive request.
+    /// Fraction of a reported prefill queue that is scheduled before an interactive request.
     pub interactive_queue_ahead: f64,
-    /// Part of a reported prefill queue that goes before a standard request.
+    /// Fraction of a reported prefill queue that is scheduled before a standard request.
     pub standard_queue_ahead: f64,
-    /// How alike the choices of gateways are that see the same reports, from zero to one; own work sent since a
-    /// report stands for as much of every other gateway.
+    /// Similarity of the choices of gateways that see the same reports, from zero to one. Own work sent since a report is
+    /// counted this many times for each other gateway.
     pub alike_choices: f64,
-    /// Worth of a second by which prompts slow the request's own tokens on a mixed engine.
+    /// Cost of a second by which prefill of other requests delays this request's decoding on a mixed engine.
     pub own_stall: f64,
-    /// Sequences that fit into an engine's batch.
+    /// Number of sequences that fit into an engine's decode batch.
     pub batch_places: f64,
-    /// Part by which each further sequence lengthens a decode step.
+    /// Relative increase of the decode step time for each additional sequence.
     pub sequence_slowdown: f64,
-    /// Setup of one KV transfer, in seconds.
+    /// Setup time of one KV cache transfer, in seconds.
     pub transfer_setup_seconds: f64,
-    /// Tokens of KV cache moved per second between engines.
+    /// Speed of KV cache transfers between engines, in tokens per second.
     pub transfer_tokens_per_second: f64,
-    /// Prefill speed assumed where none is reported, in tokens per second.
+    /// Prefill speed of engines that report none, in tokens per second.
     pub assumed_prefill_tokens_per_second: f64,
-    /// Decode speed assumed where none is reported, in tokens per second.
+    /// Decode speed of engines that report none, in tokens per second.
     pub assumed_decode_tokens_per_second: f64,
 }
 
@@ -91,21 +92,21 @@
 }
 
 impl RoutingWeights {
-    /// Every wrong setting, with what is allowed.
+    /// All invalid settings, with their allowed ranges; empty if there are none.
     pub fn validate(&self) -> Vec<FieldError> {
         let mut errors = Vec::new();
-        for (field, value) in self.weights() {
+        for (field, value) in self.non_negative_settings() {
             if !(value.is_finite() && value >= 0.0) {
-                errors.push(wrong(field, value, "a finite number, zero or more"));
+                errors.push(field_error(field, value, "a finite number, zero or more"));
             }
         }
         for (field, value) in self.positive_settings() {
             if !(value.is_finite() && value > 0.0) {
-                errors.push(wrong(field, value, "a finite number above zero"));
+                errors.push(field_error(field, value, "a finite number above zero"));
             }
         }
         if self.prefix_overlap > 1.0 {
-            errors.push(wrong(
+            errors.push(field_error(
                 "routing.prefix_overlap",
                 self.prefix_overlap,
                 "zero to one",
@@ -114,8 +115,8 @@
         errors
     }
 
-    /// Worth of a second of waiting for a class, relative to an interactive request.
-    pub fn waiting(&self, class: ServiceClass) -> f64 {
+    /// Cost of a delay for a class, relative to an interactive request.
+    pub fn delay_cost(&self, class: ServiceClass) -> f64 {
         match class {
             ServiceClass::Interactive => 1.0,
             ServiceClass::Standard => self.standard_waiting,
@@ -123,8 +124,9 @@
         }
     }
 
-    /// Part of a reported prefill queue that goes before a request of a class; reports do not tell it by class.
-    pub fn queue_ahead(&self, class: ServiceClass) -> f64 {
+    /// Fraction of a reported prefill queue that is scheduled before a request of a class. Reports don't break the queue down
+    /// by class.
+    pub fn queue_ahead_fraction(&self, class: ServiceClass) -> f64 {
         match class {
             ServiceClass::Interactive => self.interactive_queue_ahead,
             ServiceClass::Standard => self.standard_queue_ahead,
@@ -132,7 +134,7 @@
         }
     }
 
-    fn weights(&self) -> [(&'static str, f64); 14] {
+    fn non_negative_settings(&self) -> [(&'static str, f64); 14] {
         [
             ("routing.prefill_wait", self.prefill_wait),
             ("routing.prefill_compute", self.prefill_compute),
@@ -171,7 +173,7 @@
     }
 }
 
-fn wrong(field: &str, value: f64, allowed: &str) -> FieldError {
+fn field_error(field: &str, value: f64, allowed: &str) -> FieldError {
     FieldError {
         field: field.to_owned(),
         value: value.to_string(),
