--- a/crates/core/src/routing/pool/pauses.rs
+++ b/crates/core/src/routing/pool/pauses.rs
@@ -30,7 +30,7 @@
 //! `docs/design/stream-pauses.md`.
 
 use super::engine::EngineLoad;
-use super::prefill_speed::{LARGEST_FACTOR, PrefillSpeed};
+use super::speed::{MAX_OUTLIER_RATIO, PrefillSpeed};
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
@@ -60,7 +60,7 @@
             self.seconds = Some(seconds);
             return;
         };
-        let max_seconds = mean.max(MIN_EVENT_INTERVAL_SECONDS) * LARGEST_FACTOR;
+        let max_seconds = mean.max(MIN_EVENT_INTERVAL_SECONDS) * MAX_OUTLIER_RATIO;
         self.seconds = Some(mean + EVENT_INTERVAL_WEIGHT * (seconds.min(max_seconds) - mean));
     }
 }
