--- a/crates/core/src/placing/placement_table.rs
+++ b/crates/core/src/placing/placement_table.rs
@@ -188,7 +188,7 @@
             (Counted::Prompt(ticket), PlacementKind::Decode { reported_load, .. }) => {
                 self.charge = None;
                 if let Some(reported_load) = reported_load {
-                    router.on_told(ticket.engine(), *reported_load, now);
+                    router.on_reported_load(ticket.engine(), *reported_load, now);
                 }
                 router.on_prompt_prefilled(&ticket, &self.prefixes, now);
             }
@@ -254,7 +254,7 @@
         excluded: &[SubjectHandle],
         now: MonotonicTime,
     ) -> Placement {
-        let excluded = router.engines_of(excluded);
+        let excluded = router.engines_by_handle(excluded);
         let route = router.choose_or_grow(&self.query(key, &excluded), now);
         self.place(router, key, route, now)
     }
@@ -277,7 +277,7 @@
             PoolRoute::Split { prefill, decode } => {
                 let chosen = self.chosen(router, key, &prefill, now);
                 let query = self.query(key, &[]);
-                let expected = router.reading_delay(&prefill.id, &query, now).unwrap_or_default();
+                let expected = router.prefill_delay(&prefill.id, &query, now).unwrap_or_default();
                 let ticket = router.on_prompt_sent(&prefill.id, &query, now);
                 self.counted = Counted::Prompt(ticket);
                 Placement::Split {
@@ -298,7 +298,7 @@
         excluded: &[SubjectHandle],
         now: MonotonicTime,
     ) -> Placement {
-        let excluded = router.engines_of(excluded);
+        let excluded = router.engines_by_handle(excluded);
         // The node that asks may have had the prompt read by an engine that another placer chose.
         let Some(source) = router.bring_into_use(source) else {
             return Placement::Nowhere;
@@ -322,16 +322,16 @@
         now: MonotonicTime,
     ) -> ChosenEngine {
         let query = self.query(key, &[]);
-        let beliefs = router.beliefs(&engine.id, &query, now);
+        let estimate = router.estimate(&engine.id, &query, now);
         ChosenEngine {
             engine: router.handle_of(&engine.id),
             fetch_from: router.fetch_source(&engine.id, &query, now),
-            prompt_tokens_ahead: beliefs.prompt_tokens_ahead,
-            requests: beliefs.requests,
-            held_tokens: beliefs.held_tokens,
-            oldest_report_age: beliefs.oldest_report_age,
-            work_factor_percent: beliefs.work_factor_percent,
-            figure_age: beliefs.figure_age,
+            prompt_tokens_ahead: estimate.prompt_tokens_ahead,
+            requests: estimate.requests,
+            held_tokens: estimate.held_tokens,
+            oldest_report_age: estimate.oldest_report_age,
+            work_factor_percent: estimate.work_factor_percent,
+            reported_pace_age: estimate.reported_pace_age,
         }
     }
 
@@ -356,7 +356,7 @@
             zone: &self.request.zone,
             excluded,
             last_resort: false,
-            terms: self.request.terms,
+            constraints: self.request.constraints,
             rank: usize::from(self.request.rank),
             remaining: self.request.remaining,
             slot_max_wait: self.slot_max_wait(),
@@ -379,7 +379,7 @@
             DispatchProgress::Started { reported_load } => {
                 self.charge = None;
                 if let Some(reported_load) = reported_load {
-                    router.on_told(ticket.engine(), *reported_load, now);
+                    router.on_reported_load(ticket.engine(), *reported_load, now);
                 }
                 router.on_output_started(&ticket, &self.prefixes, now);
                 if let Some(promise) = self.promise.take() {
@@ -404,7 +404,7 @@
                 reported_load,
             } => {
                 if let Some(reported_load) = reported_load {
-                    router.on_told(ticket.engine(), *reported_load, now);
+                    router.on_reported_load(ticket.engine(), *reported_load, now);
                 }
                 router.on_refused(&ticket, *reason, now);
             }
--- a/crates/core/src/placing/promise.rs
+++ b/crates/core/src/placing/promise.rs
@@ -20,7 +20,7 @@
         let took = now.since(self.made_at);
         router.on_first_event(query, self.expected, took);
         if let Some(window) = self.kinds_window {
-            let kind = usize::from(query.terms.kind_rank);
+            let kind = usize::from(query.constraints.kind_rank);
             let in_time = took <= self.target;
             let sharing = router.sharing_mut();
             sharing.on_outcome(query.pool, kind, in_time, window, now);
--- a/crates/core/src/placing/question.rs
+++ b/crates/core/src/placing/question.rs
@@ -4,7 +4,7 @@
 use crate::forwarding::PoolId;
 use crate::identity::ZoneId;
 use crate::membership::subject::SubjectHandle;
-use crate::routing::pool::{Admission, PromptShape, ReportedLoad, RequestTerms, RequestTiming};
+use crate::routing::pool::{Admission, PromptShape, ReportedLoad, RequestConstraints, RequestTiming};
 use crate::sharing::Standing;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -29,8 +29,8 @@
     /// Zone of the node that asks.
     pub zone: ZoneId,
     /// What it is owed.
-    pub terms: RequestTerms,
-    /// Rank among requests, from [`crate::routing::pool::rank_of`] or [`crate::routing::pool::LATE_RANK`].
+    pub constraints: RequestConstraints,
+    /// Rank among requests, from [`crate::routing::pool::rank_for_priority`] or [`crate::routing::pool::LATE_RANK`].
     pub rank: u8,
     /// Time left.
     pub remaining: Duration,
@@ -88,7 +88,7 @@
     /// How much longer work takes there now, in hundredths of what is usual in its pool.
     pub work_factor_percent: u16,
     /// Age of the momentary figure in that; absent where none counts.
-    pub figure_age: Option<Duration>,
+    pub reported_pace_age: Option<Duration>,
 }
 
 /// Where a request goes.
--- a/crates/core/src/routing/pool/admission.rs
+++ b/crates/core/src/routing/pool/admission.rs
@@ -157,7 +157,7 @@
 }
 
 /// Rank below every route's, for what can't be in time.
-pub const LATE_RANK: usize = super::beliefs::RANKS - 1;
+pub const LATE_RANK: usize = super::peer_reports::RANK_COUNT - 1;
 
 /// Whether a prompt that could not be in time without a queue either is one of those that go ahead all the same, so that
 /// such prompts are not starved: drawn with the same part of them at every placer.
@@ -216,9 +216,9 @@
     }
 
     fn standing(&self, query: &PoolQuery<'_>, settings: &PoolAdmission, now: MonotonicTime) -> Standing {
-        let kind = usize::from(query.terms.kind_rank);
+        let kind = usize::from(query.constraints.kind_rank);
         self.sharing
-            .standing(query.pool, query.terms.tenant, kind, &settings.sharing, now)
+            .standing(query.pool, query.constraints.tenant, kind, &settings.sharing, now)
     }
 
     /// Decides what becomes of a request that is not taken to be in time.
@@ -276,7 +276,7 @@
             };
             let state = self.engines.get(&engine.id)?;
             let ahead = state.load(now).prompt_tokens_ahead(query.rank);
-            let tokens = context.reading(state, query).computed;
+            let tokens = context.prefill_work(state, query).computed;
             let slot_wait = state.slot_wait(now).as_secs_f64();
             let seconds = slot_wait + state.prefill_seconds(line, ahead + tokens, now);
             let alone = state.prefill_seconds(line, tokens, now);
@@ -324,11 +324,11 @@
         if matches!(decision.admission, Admission::Refused { .. }) {
             // What it would have had to have read is wanted all the same.
             let tokens = query.prompt.map_or(0, |prompt| prompt.tokens);
-            let held = self.context(query, now).most_held.min(tokens);
+            let held = self.context(query, now).max_held_tokens.min(tokens);
             self.demand.on_sent(f64::from(tokens - held), now);
         }
         let sharing = &settings.sharing;
-        let tenant = query.terms.tenant.filter(|_| sharing.tenants);
+        let tenant = query.constraints.tenant.filter(|_| sharing.tenants);
         if tenant.is_none() && !sharing.kinds {
             return None;
         }
@@ -337,7 +337,7 @@
         }
         let is_admitted = decision.admission == Admission::InTime;
         if sharing.kinds && !is_admitted && !timing.is_retry {
-            let kind = usize::from(query.terms.kind_rank);
+            let kind = usize::from(query.constraints.kind_rank);
             self.sharing
                 .on_outcome(query.pool, kind, false, sharing.window(), now);
         }
--- a/crates/core/src/routing/pool/choice.rs
+++ b/crates/core/src/routing/pool/choice.rs
@@ -1,6 +1,6 @@
 //! Which engines a request goes to, and why.
 
-use super::cost::{CostContext, OutputSource, shared_prefixes};
+use super::cost::{CostContext, PrefillSite, shared_prefixes};
 use super::engine::{EngineStage, EngineState, PoolEngine};
 use super::query::PoolQuery;
 use super::router::PoolRouter;
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// Fewest tokens that are fetched from another engine rather than read.
-const LEAST_FETCH: u32 = 64;
+const MIN_FETCH_TOKENS: u32 = 64;
 
 /// Where a request goes.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -38,12 +38,12 @@
     /// The cheapest of the others and its cost.
     pub runner_up: Option<(EngineId, f64)>,
     /// What is believed of the engine.
-    pub beliefs: EngineBeliefs,
+    pub estimate: EngineEstimate,
 }
 
 /// What is believed of one engine in respect of one request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct EngineBeliefs {
+pub struct EngineEstimate {
     /// Prompt tokens believed to be read there first.
     pub prompt_tokens_ahead: u64,
     /// Requests believed to be there.
@@ -55,7 +55,7 @@
     /// How much longer work takes there now, in hundredths of what is usual in its pool.
     pub work_factor_percent: u16,
     /// Age of the momentary figure in that; absent where none counts.
-    pub figure_age: Option<Duration>,
+    pub reported_pace_age: Option<Duration>,
 }
 
 impl PoolRouter {
@@ -78,14 +78,14 @@
         };
         if query.prompt.is_none() {
             return cheapest(self.candidates(query, EngineStage::Whole, now), |state| {
-                context.output(state, OutputSource::in_zone(query.zone), query)
+                context.output(state, PrefillSite::in_zone(query.zone), query)
             })
             .map_or(PoolRoute::Nowhere, |(_, state)| {
                 PoolRoute::Whole(state.engine.clone())
             });
         }
         let split = self.choose_split(query, &context);
-        let whole = self.choose_reading_decode(query, &context);
+        let whole = self.choose_combined(query, &context);
         match (split, whole) {
             (Some((split_cost, _, _)), Some((cost, state))) if cost < split_cost => {
                 PoolRoute::Whole(state.engine.clone())
@@ -121,7 +121,7 @@
         let source = self
             .engines
             .get(source)
-            .map_or(OutputSource::in_zone(query.zone), |state| {
+            .map_or(PrefillSite::in_zone(query.zone), |state| {
                 self.output_source(state, query, now)
             });
         cheapest(self.output_candidates(query, source.zone, now), |state| {
@@ -149,7 +149,7 @@
                 context.prompt(state, query, home.as_ref() == Some(&state.engine.id))
             }
             (EngineStage::Decode, true) => context.both(state, query),
-            _ => context.output(state, OutputSource::in_zone(query.zone), query),
+            _ => context.output(state, PrefillSite::in_zone(query.zone), query),
         };
         let others = self
             .candidates(query, stage, now)
@@ -158,28 +158,28 @@
         Explanation {
             cost: self.engines.get(engine).map_or(0.0, cost),
             runner_up,
-            beliefs: self.beliefs(engine, query, now),
+            estimate: self.estimate(engine, query, now),
         }
     }
 
     /// What is believed of an engine; nothing where it is not known.
-    pub fn beliefs(&self, engine: &EngineId, query: &PoolQuery<'_>, now: MonotonicTime) -> EngineBeliefs {
+    pub fn estimate(&self, engine: &EngineId, query: &PoolQuery<'_>, now: MonotonicTime) -> EngineEstimate {
         let Some(state) = self.engines.get(engine) else {
-            return EngineBeliefs::default();
+            return EngineEstimate::default();
         };
         let work = state.load(now);
-        EngineBeliefs {
+        EngineEstimate {
             prompt_tokens_ahead: work.prompt_tokens_ahead(query.rank) as u64,
             requests: work.requests as u32,
             held_tokens: state.prefixes.held_tokens(query.prefixes),
             oldest_report_age: state.oldest_report_age(now),
             work_factor_percent: (state.work_factor(now) * 100.0) as u16,
-            figure_age: state.pace().momentary_age(now),
+            reported_pace_age: state.pace().momentary_age(now),
         }
     }
 
     /// Time until a prompt sent now to an engine would have been read there; absent where the engine is not known.
-    pub fn reading_delay(
+    pub fn prefill_delay(
         &self,
         engine: &EngineId,
         query: &PoolQuery<'_>,
@@ -187,7 +187,7 @@
     ) -> Option<Duration> {
         let context = self.context(query, now);
         let state = self.engines.get(engine)?;
-        let tokens = state.load(now).prompt_tokens_ahead(query.rank) + context.reading(state, query).computed;
+        let tokens = state.load(now).prompt_tokens_ahead(query.rank) + context.prefill_work(state, query).computed;
         let seconds = state.prefill_seconds(&context.speeds.prefill, tokens, now);
         Some(Duration::from_secs_f64(seconds))
     }
@@ -205,7 +205,7 @@
         let reader = self.engines.get(engine)?;
         let held = reader.prefixes.held_tokens(query.prefixes);
         let (tokens, holder) = self.best_holder(query, now)?;
-        let worth_it = tokens >= held + LEAST_FETCH
+        let worth_it = tokens >= held + MIN_FETCH_TOKENS
             && holder.engine.id != *engine
             && self
                 .paths
@@ -219,7 +219,7 @@
             weights: &self.weights,
             speeds: self.speeds(query.pool),
             move_seconds: traits.and_then(|traits| traits.move_seconds),
-            most_held: self.best_holder(query, now).map_or(0, |(tokens, _)| tokens),
+            max_held_tokens: self.best_holder(query, now).map_or(0, |(tokens, _)| tokens),
             min_prefill_wait: None,
             output_seconds: self.output_seconds(query),
             draw: query.draw,
@@ -296,16 +296,16 @@
         reads: &'a EngineState,
         query: &PoolQuery<'_>,
         now: MonotonicTime,
-    ) -> OutputSource<'a> {
+    ) -> PrefillSite<'a> {
         let zone = &reads.engine.zone;
-        OutputSource {
+        PrefillSite {
             zone,
-            keeps_alone: reads.engine.spot && self.keeps_alone(zone, query, now),
+            is_sole_cache_zone: reads.engine.spot && self.is_sole_cache_zone(zone, query, now),
         }
     }
 
     /// Whether no zone but this one keeps the shared part of a prompt.
-    fn keeps_alone(&self, zone: &ZoneId, query: &PoolQuery<'_>, now: MonotonicTime) -> bool {
+    fn is_sole_cache_zone(&self, zone: &ZoneId, query: &PoolQuery<'_>, now: MonotonicTime) -> bool {
         let shared = shared_prefixes(query.prefixes);
         let tokens: u32 = shared.iter().map(|block| block.tokens).sum();
         let elsewhere = self.engines.values().filter(|state| {
@@ -318,7 +318,7 @@
     }
 
     /// An engine that runs outputs and reads this prompt itself.
-    fn choose_reading_decode<'a>(
+    fn choose_combined<'a>(
         &'a self,
         query: &'a PoolQuery<'_>,
         context: &CostContext<'_>,
--- a/crates/core/src/routing/pool/cost.rs
+++ b/crates/core/src/routing/pool/cost.rs
@@ -63,7 +63,7 @@
     /// Seconds that moving the KV cache of one token takes; absent where engines can't fetch from one another.
     pub move_seconds: Option<f64>,
     /// Most tokens of the prompt that any engine holds.
-    pub most_held: u32,
+    pub max_held_tokens: u32,
     /// Shortest time until an engine that reads prompts would begin with this one, in seconds; absent where there is
     /// none, or nothing is chosen by it.
     pub min_prefill_wait: Option<f64>,
@@ -77,27 +77,27 @@
 
 /// Where an output comes from.
 #[derive(Clone, Copy, Debug)]
-pub struct OutputSource<'a> {
+pub struct PrefillSite<'a> {
     /// Zone of the engine that reads the prompt.
     pub zone: &'a ZoneId,
     /// Whether that zone alone keeps the shared part of the prompt, and may lose all of its engines at once. The engine
     /// that runs the output keeps it too.
-    pub keeps_alone: bool,
+    pub is_sole_cache_zone: bool,
 }
 
-impl<'a> OutputSource<'a> {
+impl<'a> PrefillSite<'a> {
     /// A zone of which nothing else matters.
     pub fn in_zone(zone: &'a ZoneId) -> Self {
         Self {
             zone,
-            keeps_alone: false,
+            is_sole_cache_zone: false,
         }
     }
 }
 
 /// How an engine comes by a prompt.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ReadingWork {
+pub struct PrefillWork {
     /// Tokens that it reads.
     pub computed: f64,
     /// Tokens that it fetches from another engine.
@@ -106,14 +106,14 @@
 
 impl CostContext<'_> {
     /// How an engine would come by the prompt.
-    pub fn reading(&self, state: &EngineState, query: &PoolQuery<'_>) -> ReadingWork {
+    pub fn prefill_work(&self, state: &EngineState, query: &PoolQuery<'_>) -> PrefillWork {
         let tokens = query.prompt.map_or(0, |prompt| prompt.tokens);
         let held = state.prefixes.held_tokens(query.prefixes);
         let reachable = match self.move_seconds {
-            Some(_) => held.max(self.most_held),
+            Some(_) => held.max(self.max_held_tokens),
             None => held,
         };
-        ReadingWork {
+        PrefillWork {
             computed: f64::from(tokens.saturating_sub(reachable)),
             fetched: f64::from(reachable - held),
         }
@@ -121,11 +121,11 @@
 
     /// Cost of reading the prompt at an engine.
     pub fn prompt(&self, state: &EngineState, query: &PoolQuery<'_>, is_home: bool) -> f64 {
-        let reading = self.reading(state, query);
+        let reading = self.prefill_work(state, query);
         let work = state.load(self.now);
         let ahead = work.prompt_tokens_ahead(query.rank);
         let tokens = self.weights.wait * ahead + self.weights.compute * reading.computed;
-        let away = if is_home || self.most_held > 0 {
+        let away = if is_home || self.max_held_tokens > 0 {
             0.0
         } else {
             self.weights.away_seconds
@@ -139,8 +139,8 @@
     }
 
     /// Cost of running the output at an engine, or the whole of a request that no model serves.
-    pub fn output(&self, state: &EngineState, source: OutputSource<'_>, query: &PoolQuery<'_>) -> f64 {
-        let transfer = match (state.engine.zone == *source.zone, source.keeps_alone) {
+    pub fn output(&self, state: &EngineState, source: PrefillSite<'_>, query: &PoolQuery<'_>) -> f64 {
+        let transfer = match (state.engine.zone == *source.zone, source.is_sole_cache_zone) {
             (true, true) => self.weights.lone_zone_seconds,
             (true, false) | (false, true) => 0.0,
             (false, false) => self.weights.transfer_zone_seconds,
@@ -171,7 +171,7 @@
 
     /// Cost of reading the prompt and running the output at an engine that runs outputs.
     pub fn both(&self, state: &EngineState, query: &PoolQuery<'_>) -> f64 {
-        let reading = self.reading(state, query);
+        let reading = self.prefill_work(state, query);
         let work = state.load(self.now);
         let tokens = work.prompt_tokens_ahead(query.rank) + reading.computed;
         let seconds = state.prefill_seconds(&self.speeds.decode, tokens, self.now);
@@ -209,13 +209,13 @@
             None => (0.0, work.all_prompt_tokens()),
         };
         let made_late = forecast.added_late_streams(work, computed, self.min_prefill_wait);
-        let late = made_late + forecast.own_late_probability(beside, query.terms.max_event_gap);
+        let late = made_late + forecast.own_late_probability(beside, query.constraints.max_event_gap);
         self.weights.pause_seconds * late
     }
 
     /// Cost of the risk that the engine ends under a request that may run on no other.
     fn risk(&self, state: &EngineState, query: &PoolQuery<'_>) -> f64 {
-        if query.terms.single_try {
+        if query.constraints.single_try {
             self.weights.single_try_seconds * state.risk(self.now)
         } else {
             0.0
@@ -237,7 +237,7 @@
         self.weights.spread_seconds * (drawn as f64 / u64::MAX as f64)
     }
 
-    fn fetch(&self, work: &EngineLoad, reading: ReadingWork) -> f64 {
+    fn fetch(&self, work: &EngineLoad, reading: PrefillWork) -> f64 {
         if reading.fetched == 0.0 {
             return 0.0;
         }
--- a/crates/core/src/routing/pool/dispatches.rs
+++ b/crates/core/src/routing/pool/dispatches.rs
@@ -1,8 +1,8 @@
 //! The fate of what was sent: work under kv_source, speeds, health and what engines come to hold.
 
 use super::admission::LATE_RANK;
-use super::beliefs::PrefixNews;
-use super::cost::{ReadingWork, shared_prefixes};
+use super::peer_reports::PrefixUpdate;
+use super::cost::{PrefillWork, shared_prefixes};
 use super::engine::{EngineState, InFlightWork};
 use super::pace::{ObservedWork, PaceObservation};
 use super::pool_speeds::PoolSpeeds;
@@ -80,7 +80,7 @@
         let prompt_tokens = query.prompt.map_or(0, |prompt| prompt.tokens);
         let reading = match kv_source {
             KvCacheSource::Prefill => self.prefill_work_at(engine, query, now),
-            KvCacheSource::Transfer => ReadingWork {
+            KvCacheSource::Transfer => PrefillWork {
                 computed: 0.0,
                 fetched: f64::from(prompt_tokens),
             },
@@ -89,10 +89,10 @@
         self.note_dispatch(engine, query, reading, f64::from(memory), Some(kv_source), now)
     }
 
-    fn prefill_work_at(&self, engine: &EngineId, query: &PoolQuery<'_>, now: MonotonicTime) -> ReadingWork {
+    fn prefill_work_at(&self, engine: &EngineId, query: &PoolQuery<'_>, now: MonotonicTime) -> PrefillWork {
         let context = self.context(query, now);
         let state = self.engines.get(engine);
-        state.map_or(ReadingWork::default(), |state| context.reading(state, query))
+        state.map_or(PrefillWork::default(), |state| context.prefill_work(state, query))
     }
 
     /// Notes that an engine has read a prompt, whose parts it holds from now on.
@@ -101,7 +101,7 @@
             return;
         };
         state.health.on_success();
-        state.breaks.answered();
+        state.breaks.record_success();
         note_held(state, prefixes, &mut self.prefix_updates, now);
         self.paths.record_answer(&ticket.from, &state.engine.zone, now);
         let work = state.in_flight.remove(&ticket.number);
@@ -187,7 +187,7 @@
         if let Some(state) = self.engines.get_mut(&ticket.engine) {
             let work = state.in_flight.remove(&ticket.number);
             state.health.on_success();
-            state.breaks.answered();
+            state.breaks.record_success();
             // Its answer came after it was sent; when, only a series of events has told before.
             if let Some(work) = work {
                 self.paths
@@ -218,7 +218,7 @@
         if let Some(state) = self.engines.get_mut(&ticket.engine) {
             state.in_flight.remove(&ticket.number);
             state.health.on_connection_failure(now);
-            state.breaks.broke(now);
+            state.breaks.record_failure(now);
         }
     }
 
@@ -274,12 +274,12 @@
         &mut self,
         engine: &EngineId,
         query: &PoolQuery<'_>,
-        reading: ReadingWork,
+        reading: PrefillWork,
         memory_tokens: f64,
         kv_source: Option<KvCacheSource>,
         now: MonotonicTime,
     ) -> PoolTicket {
-        self.tickets += 1;
+        self.last_ticket_number += 1;
         let rank = query.rank;
         if let Some(state) = self.engines.get(engine) {
             let (pool, stage) = (state.engine.pool.clone(), state.engine.stage);
@@ -296,12 +296,12 @@
                 kv_source,
                 had_free_slot: state.has_free_slot(now),
                 tokens_until_prefilled: state.load(now).prompt_tokens_ahead(rank) + reading.computed,
-                max_event_gap: query.terms.max_event_gap.filter(|_| kv_source.is_some()),
+                max_event_gap: query.constraints.max_event_gap.filter(|_| kv_source.is_some()),
                 output_tokens: query.prompt.map_or(0, PromptShape::expected_output_tokens),
                 begun_at: None,
                 momentary: state.pace.momentary_factor(now),
             };
-            state.in_flight.insert(self.tickets, work);
+            state.in_flight.insert(self.last_ticket_number, work);
             state
                 .recent_prefill
                 .observe(state.load(now).all_prompt_tokens(), now);
@@ -310,7 +310,7 @@
         PoolTicket {
             engine: engine.clone(),
             from: query.zone.clone(),
-            number: self.tickets,
+            number: self.last_ticket_number,
         }
     }
 }
@@ -318,14 +318,14 @@
 fn note_held(
     state: &mut EngineState,
     prefixes: &[PrefixBlock],
-    news: &mut Vec<PrefixNews>,
+    news: &mut Vec<PrefixUpdate>,
     now: MonotonicTime,
 ) {
     state.record_answer(now);
-    state.prefixes.note_read(prefixes, now);
+    state.prefixes.record_prefill(prefixes, now);
     // A request's own part is told too: no other request needs it, but it takes the place of parts that others do.
     if !shared_prefixes(prefixes).is_empty() && news.len() < MAX_PENDING_UPDATES {
-        news.push(PrefixNews {
+        news.push(PrefixUpdate {
             engine: state.handle,
             prefixes: prefixes.to_vec(),
             just_answered: true,
--- a/crates/core/src/routing/pool/engine.rs
+++ b/crates/core/src/routing/pool/engine.rs
@@ -1,13 +1,13 @@
 //! What is known of one engine of a pool.
 
-use super::beliefs::{PeerWork, RANKS};
+use super::peer_reports::{PeerLoad, RANK_COUNT};
 use super::cordons::EngineCordon;
 use super::dispatches::KvCacheSource;
 use super::pace::EnginePace;
 use super::pauses::RecentPrefill;
 use super::prefill_speed::PrefillSpeed;
-use super::prefix::PrefixBelief;
-use super::risk::BreakShare;
+use super::prefix_cache::PrefixCacheEstimate;
+use super::risk::FailureRate;
 use crate::forwarding::PoolId;
 use crate::identity::{EngineId, NodeId, ZoneId};
 use crate::membership::subject::SubjectHandle;
@@ -97,7 +97,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EngineLoad {
     /// Prompt tokens to read, by rank.
-    pub prompt_tokens: [f64; RANKS],
+    pub prompt_tokens: [f64; RANK_COUNT],
     /// Requests.
     pub requests: f64,
     /// Tokens of KV cache that the requests hold or will hold.
@@ -117,12 +117,12 @@
 impl EngineLoad {
     /// Prompt tokens that are read before those of a request of a rank that comes now.
     pub fn prompt_tokens_ahead(&self, rank: usize) -> f64 {
-        self.prompt_tokens[..=rank.min(RANKS - 1)].iter().sum()
+        self.prompt_tokens[..=rank.min(RANK_COUNT - 1)].iter().sum()
     }
 
     /// Prompt tokens that are read after those of a request of a rank that comes now.
     pub fn prompt_tokens_behind(&self, rank: usize) -> f64 {
-        self.prompt_tokens[rank.min(RANKS - 1) + 1..].iter().sum()
+        self.prompt_tokens[rank.min(RANK_COUNT - 1) + 1..].iter().sum()
     }
 
     /// Prompt tokens of every rank.
@@ -130,7 +130,7 @@
         self.prompt_tokens.iter().sum()
     }
 
-    fn add_peer(&mut self, work: &PeerWork) {
+    fn add_peer(&mut self, work: &PeerLoad) {
         for (sum, tokens) in self.prompt_tokens.iter_mut().zip(work.prompt_tokens) {
             *sum += f64::from(tokens);
         }
@@ -139,7 +139,7 @@
         self.moving_tokens += f64::from(work.moving_tokens);
         self.outputs += f64::from(work.outputs);
         self.output_tokens += f64::from(work.output_tokens);
-        let millis = u64::from(work.shortest_bound_millis);
+        let millis = u64::from(work.min_event_gap_limit_millis);
         self.streams += f64::from(work.streams);
         self.add_bound((millis > 0).then_some(Duration::from_millis(millis)));
     }
@@ -162,8 +162,8 @@
     }
 
     /// As it is told to other nodes.
-    pub fn to_peer_load(&self) -> PeerWork {
-        PeerWork {
+    pub fn to_peer_load(&self) -> PeerLoad {
+        PeerLoad {
             prompt_tokens: self.prompt_tokens.map(|tokens| tokens as u32),
             requests: self.requests as u32,
             memory_tokens: self.memory_tokens as u32,
@@ -171,7 +171,7 @@
             outputs: self.outputs as u32,
             output_tokens: self.output_tokens as u32,
             streams: self.streams as u32,
-            shortest_bound_millis: self
+            min_event_gap_limit_millis: self
                 .min_event_gap_limit
                 .map_or(0, |bound| bound.as_millis() as u32),
         }
@@ -220,7 +220,7 @@
     /// Short name of this start of the engine, the same at every node.
     pub handle: SubjectHandle,
     /// Prompt parts that it is believed to hold.
-    pub prefixes: PrefixBelief,
+    pub prefixes: PrefixCacheEstimate,
     /// When it was last known to answer, to this node or another.
     pub(super) last_answer_at: Option<MonotonicTime>,
     /// The stage that it has been ordered to take, and since when, until it is listed so.
@@ -236,12 +236,12 @@
     /// End of the last backoff that it asked this node for; load returns to it step by step from then on.
     pub(super) backoff_end: Option<MonotonicTime>,
     pub(super) health: Health,
-    pub(super) breaks: BreakShare,
+    pub(super) breaks: FailureRate,
     pub(super) in_flight: BTreeMap<u64, InFlightWork>,
     pub(super) reported_load: Option<(ReportedLoad, MonotonicTime)>,
     /// The rate limit that it names in its answers.
     pub(super) limit: LimitEstimate,
-    pub(super) peers: BTreeMap<NodeId, (PeerWork, MonotonicTime)>,
+    pub(super) peers: BTreeMap<NodeId, (PeerLoad, MonotonicTime)>,
     /// Factor by which it answers slower than expected; one when it does not. Decides where `pace` is not in use.
     pub(super) slowness: f64,
     /// Prompt tokens that it had to read at once of late.
@@ -264,7 +264,7 @@
         Self {
             handle: SubjectHandle::of_engine(&engine.id),
             engine,
-            prefixes: PrefixBelief::new(cache_tokens),
+            prefixes: PrefixCacheEstimate::new(cache_tokens),
             last_answer_at: None,
             stage_order: None,
             delisted: None,
@@ -273,7 +273,7 @@
             cordon: EngineCordon::default(),
             backoff_end: None,
             health: Health::default(),
-            breaks: BreakShare::default(),
+            breaks: FailureRate::default(),
             in_flight: BTreeMap::new(),
             reported_load: None,
             limit: LimitEstimate::default(),
--- a/crates/core/src/routing/pool/limits.rs
+++ b/crates/core/src/routing/pool/limits.rs
@@ -81,7 +81,7 @@
 
     /// Takes another node's notice of a limit; the engine, where the notice has changed what is believed of it.
     pub fn on_limit_notice(&mut self, notice: &LimitNotice, now: MonotonicTime) -> Option<&EngineState> {
-        let state = self.state_of(notice.engine)?;
+        let state = self.state_by_handle(notice.engine)?;
         let age = Duration::from_millis(u64::from(notice.age_millis));
         let change = state.limit.on_notice(notice.limit, now - age);
         let wait = Duration::from_millis(u64::from(notice.slot_wait_millis));
@@ -93,7 +93,7 @@
 
     /// Notes how long the next slot of an engine is away.
     pub fn note_slot(&mut self, engine: SubjectHandle, wait: Duration, now: MonotonicTime) {
-        if let Some(state) = self.state_of(engine) {
+        if let Some(state) = self.state_by_handle(engine) {
             state.limit.note_slot(wait, now);
         }
     }
@@ -136,7 +136,7 @@
             .engines
             .values()
             .filter(|other| other.engine.pool == *pool && other.engine.stage == stage && other.stays());
-        let falls_to_one = own * self.demand.all_to_own(now) / alike.count().max(1) as f64;
+        let falls_to_one = own * self.demand.total_to_own_ratio(now) / alike.count().max(1) as f64;
         if falls_to_one <= 0.0 {
             return 1.0;
         }
--- a/crates/core/src/routing/pool/mod.rs
+++ b/crates/core/src/routing/pool/mod.rs
@@ -8,12 +8,12 @@
 //! [`cost`] documents the formula.
 
 mod admission;
-mod beliefs;
+mod peer_reports;
 mod choice;
 mod concurrent_work;
 mod cordons;
 pub mod cost;
-mod demand;
+mod prompt_demand;
 mod dispatches;
 mod ended_starts;
 mod engine;
@@ -26,9 +26,9 @@
 mod peers;
 mod pool_speeds;
 mod prefill_speed;
-mod prefix;
+mod prefix_cache;
 mod query;
-mod reach;
+mod reachability;
 mod recent_changes;
 mod reclaims;
 mod risk;
@@ -40,8 +40,8 @@
 mod working_set;
 
 pub use admission::{Admission, AdmissionDecision, LATE_RANK, PoolAdmission, RequestTiming};
-pub use beliefs::{PeerWork, PrefixNews, RANKS, SilenceWord, WorkSlice, rank_of};
-pub use choice::{EngineBeliefs, Explanation, PoolRoute};
+pub use peer_reports::{PeerLoad, PrefixUpdate, RANK_COUNT, SilenceReport, PeerLoadSlice, rank_for_priority};
+pub use choice::{EngineEstimate, Explanation, PoolRoute};
 pub use concurrent_work::ConcurrentWork;
 pub use cordons::{ActiveCordon, AvoidanceReason};
 pub use cost::shared_prefixes;
@@ -56,8 +56,8 @@
 pub use paths::{PathChange, PathState, Paths};
 pub use pool_speeds::PoolSpeeds;
 pub use prefill_speed::PrefillSpeed;
-pub use prefix::PrefixBelief;
-pub use query::{PoolQuery, PrefixBlock, PromptPart, PromptShape, RequestTerms};
+pub use prefix_cache::PrefixCacheEstimate;
+pub use query::{PoolQuery, PrefixBlock, PromptPart, PromptShape, RequestConstraints};
 pub use recent_changes::{ListUpdate, RecentChanges};
 pub use router::PoolRouter;
 pub use running_stats::{EstimateError, PrefillPauses, RejectionRate};
--- a/crates/core/src/routing/pool/pace/router.rs
+++ b/crates/core/src/routing/pool/pace/router.rs
@@ -243,7 +243,7 @@
             .split_off(max_momentary_reports.min(self.unsent_paces.len()));
         let handles = std::mem::replace(&mut self.unsent_paces, rest);
         let figures = handles.into_iter().filter_map(|handle| {
-            let (reported, reported_at) = self.state_of(handle)?.pace.momentary.latest()?;
+            let (reported, reported_at) = self.state_by_handle(handle)?.pace.momentary.latest()?;
             Some(ReportedPace {
                 engine: handle,
                 percent: (reported * 100.0) as u16,
@@ -258,7 +258,7 @@
 
     /// Lasting paces of the next engines, ordered by their ids.
     fn next_lasting_reports(&mut self, max_reports: usize) -> Vec<LastingPaceReport> {
-        let last = self.lasting_cursor.clone();
+        let last = self.lasting_pace_cursor.clone();
         let is_after_cursor = |engine: &EngineId| last.as_ref().is_none_or(|last| engine > last);
         let following = self.engines.iter().filter(|(engine, _)| is_after_cursor(engine));
         let batch = following.filter_map(|(engine, state)| {
@@ -272,7 +272,7 @@
         });
         let batch: Vec<_> = batch.take(max_reports).collect();
         // A short batch ends the list, so the next call starts from the beginning.
-        self.lasting_cursor = (batch.len() == max_reports)
+        self.lasting_pace_cursor = (batch.len() == max_reports)
             .then(|| batch.last().map(|(engine, _)| engine.clone()))
             .flatten();
         batch.into_iter().map(|(_, report)| report).collect()
@@ -289,12 +289,12 @@
                 ..ReportedLoad::default()
             };
             let reported_at = now - Duration::from_millis(u64::from(report.age_millis));
-            if let (Some(reported), Some(state)) = (reported_pace(&load), self.state_of(report.engine)) {
+            if let (Some(reported), Some(state)) = (reported_pace(&load), self.state_by_handle(report.engine)) {
                 state.pace.momentary.record_latest(reported, reported_at);
             }
         }
         for report in &reports.lasting {
-            if let Some(state) = self.state_of(report.engine) {
+            if let Some(state) = self.state_by_handle(report.engine) {
                 let factor = f64::from(report.thousandths) / 1_000.0;
                 state
                     .pace
--- a/crates/core/src/routing/pool/beliefs.rs
+++ b/crates/core/src/routing/pool/peer_reports.rs
@@ -6,19 +6,19 @@
 use serde::{Deserialize, Serialize};
 
 /// Ranks that are told apart in the work at an engine; the last is for what can't be in time.
-pub const RANKS: usize = 4;
+pub const RANK_COUNT: usize = 4;
 
 /// The rank under which the work of a request that can be in time is counted; zero goes first, all lesser ones count as
 /// the last of them.
-pub fn rank_of(priority: u8) -> usize {
-    usize::from(priority).min(RANKS - 2)
+pub fn rank_for_priority(priority: u8) -> usize {
+    usize::from(priority).min(RANK_COUNT - 2)
 }
 
 /// Work of another node at one engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PeerWork {
+pub struct PeerLoad {
     /// Prompt tokens to read, by rank.
-    pub prompt_tokens: [u32; RANKS],
+    pub prompt_tokens: [u32; RANK_COUNT],
     /// Requests.
     pub requests: u32,
     /// Tokens of KV cache that the requests hold or will hold.
@@ -32,61 +32,61 @@
     /// Those of them whose route names the longest harmless pause, and that have kept to it so far.
     pub streams: u32,
     /// Shortest of the longest harmless pauses of those streams, in milliseconds.
-    pub shortest_bound_millis: u32,
+    pub min_event_gap_limit_millis: u32,
 }
 
 /// What the number of a slice without engines says; each says what the lower ones do as well.
-const TAKES_SPARSE_WORDS: u16 = 1;
+const SPARSE_REPORTS_LEVEL: u16 = 1;
 /// The sender speaks of engines' rate limits, and keeps to them.
-const SPEAKS_OF_LIMITS: u16 = 2;
+const RATE_LIMITS_LEVEL: u16 = 2;
 
 /// The engines that one message about work is about: of `of` equal parts the one numbered `index`.
 ///
 /// What a message says of its slice replaces what its sender said of it before, so that a lost message is made good by
 /// the next one about the same engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct WorkSlice {
+pub struct PeerLoadSlice {
     /// Number of the part, from zero.
     pub index: u16,
     /// Parts.
-    pub of: u16,
+    pub slice_count: u16,
 }
 
-impl WorkSlice {
+impl PeerLoadSlice {
     /// All engines.
-    pub const ALL: Self = Self { index: 0, of: 1 };
+    pub const ALL: Self = Self { index: 0, slice_count: 1 };
 
     /// No engine. The number of the part, which means nothing here, says that the sender takes sparse words from far
     /// placers, and speaks of rate limits: builds that don't know it pass it over.
-    pub const NOTHING: Self = Self {
-        index: SPEAKS_OF_LIMITS,
-        of: 0,
+    pub const EMPTY: Self = Self {
+        index: RATE_LIMITS_LEVEL,
+        slice_count: 0,
     };
 
     /// Whether the slice is about no engine.
-    pub fn is_nothing(self) -> bool {
-        self.of == 0
+    pub fn is_empty(self) -> bool {
+        self.slice_count == 0
     }
 
     /// Whether the sender takes sparse words from far placers.
-    pub fn takes_sparse_words(self) -> bool {
-        self.of == 0 && self.index >= TAKES_SPARSE_WORDS
+    pub fn accepts_sparse_reports(self) -> bool {
+        self.slice_count == 0 && self.index >= SPARSE_REPORTS_LEVEL
     }
 
     /// Whether the sender speaks of engines' rate limits.
-    pub fn speaks_of_limits(self) -> bool {
-        self.of == 0 && self.index >= SPEAKS_OF_LIMITS
+    pub fn reports_rate_limits(self) -> bool {
+        self.slice_count == 0 && self.index >= RATE_LIMITS_LEVEL
     }
 
     /// Whether the slice is about an engine.
     pub fn includes(self, engine: SubjectHandle) -> bool {
-        self.of > 0 && engine.number() % u64::from(self.of) == u64::from(self.index)
+        self.slice_count > 0 && engine.number() % u64::from(self.slice_count) == u64::from(self.index)
     }
 }
 
 /// Prefixes that an engine has come to hold.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PrefixNews {
+pub struct PrefixUpdate {
     /// The engine.
     pub engine: SubjectHandle,
     /// The prefixes, shortest first.
@@ -97,7 +97,7 @@
 
 /// An engine that said nothing for too long to a node, as a placer tells others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SilenceWord {
+pub struct SilenceReport {
     /// The engine.
     pub engine: SubjectHandle,
     /// Zone of the node.
--- a/crates/core/src/routing/pool/peers.rs
+++ b/crates/core/src/routing/pool/peers.rs
@@ -1,6 +1,6 @@
 //! What nodes tell each other: their work, demand, orders, and what engines hold.
 
-use super::beliefs::{PeerWork, PrefixNews, WorkSlice};
+use super::peer_reports::{PeerLoad, PrefixUpdate, PeerLoadSlice};
 use super::engine::EngineStage;
 use super::query::PrefixBlock;
 use super::router::PoolRouter;
@@ -20,26 +20,26 @@
     pub fn on_peer_load(
         &mut self,
         peer: &NodeId,
-        slice: WorkSlice,
-        works: &[(SubjectHandle, PeerWork)],
+        slice: PeerLoadSlice,
+        works: &[(SubjectHandle, PeerLoad)],
         now: MonotonicTime,
     ) {
         let named: Vec<SubjectHandle> = works.iter().map(|(handle, _)| *handle).collect();
-        let before = self.named_by.entry(peer.clone()).or_default();
+        let before = self.engines_reported_by.entry(peer.clone()).or_default();
         let (dropped, kept): (Vec<_>, Vec<_>) = before
             .iter()
             .filter(|handle| !named.contains(handle))
             .partition(|handle| slice.includes(**handle));
         *before = kept.into_iter().chain(named).collect();
         for handle in dropped {
-            if let Some(state) = self.state_of(handle) {
+            if let Some(state) = self.state_by_handle(handle) {
                 state.peers.remove(peer);
             }
         }
         for (handle, work) in works {
             // An engine that another node uses is one that this node's next request may meet there.
             self.bring_into_use(*handle);
-            if let Some(state) = self.state_of(*handle) {
+            if let Some(state) = self.state_by_handle(*handle) {
                 state.peers.insert(peer.clone(), (*work, now));
                 state
                     .recent_prefill
@@ -49,7 +49,7 @@
     }
 
     /// This node's own work, as it is told to other nodes; engines without any are left out.
-    pub fn own_load(&self) -> Vec<(SubjectHandle, PeerWork)> {
+    pub fn own_load(&self) -> Vec<(SubjectHandle, PeerLoad)> {
         self.engines
             .values()
             .filter(|state| !state.in_flight.is_empty())
@@ -60,7 +60,7 @@
     /// Notes that engines have been ordered to change their stage, here or by another node.
     pub fn on_ordered(&mut self, orders: &[(SubjectHandle, EngineStage)], now: MonotonicTime) {
         for (handle, stage) in orders {
-            if let Some(state) = self.state_of(*handle)
+            if let Some(state) = self.state_by_handle(*handle)
                 && state.engine.stage != *stage
                 && state.stage_order.is_none_or(|(known, _)| known != *stage)
             {
@@ -122,23 +122,23 @@
 
     /// This node's own demand, as it is told to other nodes.
     pub fn own_demand(&self, now: MonotonicTime) -> u32 {
-        self.demand.own(now) as u32
+        self.demand.own_tokens_per_second(now) as u32
     }
 
     /// Takes another node's word of its demand.
     pub fn on_peer_demand(&mut self, peer: &NodeId, tokens_per_second: u32, now: MonotonicTime) {
-        self.demand.on_peer(peer, tokens_per_second, now);
+        self.demand.on_peer_report(peer, tokens_per_second, now);
     }
 
     /// Takes another node's news of shared prefixes that engines hold.
-    pub fn on_prefix_updates(&mut self, news: &[PrefixNews], now: MonotonicTime) {
+    pub fn on_prefix_updates(&mut self, news: &[PrefixUpdate], now: MonotonicTime) {
         for one in news {
-            if let Some(state) = self.state_of(one.engine) {
+            if let Some(state) = self.state_by_handle(one.engine) {
                 if one.just_answered {
                     state.record_answer(now);
                 }
                 let returns = one.just_answered && state.health.on_peer_success(now);
-                state.prefixes.note_read(&one.prefixes, now);
+                state.prefixes.record_prefill(&one.prefixes, now);
                 let engine = returns.then(|| state.engine.id.clone());
                 if let Some(engine) = engine {
                     self.record_availability_change(engine, None, true);
@@ -152,8 +152,8 @@
         let Some(state) = self.engines.get_mut(engine) else {
             return;
         };
-        state.prefixes.note_read(held, now);
-        let news = held.chunks(BLOCKS_IN_NEWS).map(|prefixes| PrefixNews {
+        state.prefixes.record_prefill(held, now);
+        let news = held.chunks(BLOCKS_IN_NEWS).map(|prefixes| PrefixUpdate {
             engine: state.handle,
             prefixes: prefixes.to_vec(),
             just_answered: false,
@@ -162,11 +162,11 @@
     }
 
     /// Everything that engines are believed to hold, for a node that has just started.
-    pub fn prefix_snapshot(&self) -> Vec<PrefixNews> {
+    pub fn prefix_snapshot(&self) -> Vec<PrefixUpdate> {
         self.engines
             .values()
             .filter(|state| !state.prefixes.is_empty())
-            .map(|state| PrefixNews {
+            .map(|state| PrefixUpdate {
                 engine: state.handle,
                 prefixes: state.prefixes.blocks(),
                 just_answered: false,
@@ -177,7 +177,7 @@
     /// News of shared prefixes since the last call, for other nodes.
     ///
     /// At most `most` of them; the rest follows at the next call.
-    pub fn take_prefix_updates(&mut self, most: usize) -> Vec<PrefixNews> {
+    pub fn take_prefix_updates(&mut self, most: usize) -> Vec<PrefixUpdate> {
         let rest = self.prefix_updates.split_off(most.min(self.prefix_updates.len()));
         std::mem::replace(&mut self.prefix_updates, rest)
     }
--- a/crates/core/src/routing/pool/prefix.rs
+++ b/crates/core/src/routing/pool/prefix_cache.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 /// Part of an engine's memory that is believed to be left for prefixes beside running requests.
-const SHARE_FOR_PREFIXES: f64 = 0.85;
+const PREFIX_CACHE_SHARE: f64 = 0.85;
 
 #[derive(Clone, Copy, Debug)]
 struct Held {
@@ -15,7 +15,7 @@
 
 /// Bounded by the engine's memory, so that it never grows without end.
 #[derive(Clone, Debug)]
-pub struct PrefixBelief {
+pub struct PrefixCacheEstimate {
     capacity: u64,
     tokens: u64,
     uses: u64,
@@ -23,11 +23,11 @@
     by_use: BTreeMap<(MonotonicTime, u64), u64>,
 }
 
-impl PrefixBelief {
+impl PrefixCacheEstimate {
     /// Nothing is held yet; `cache_tokens` fit into the engine's memory.
     pub fn new(cache_tokens: u64) -> Self {
         Self {
-            capacity: (cache_tokens as f64 * SHARE_FOR_PREFIXES) as u64,
+            capacity: (cache_tokens as f64 * PREFIX_CACHE_SHARE) as u64,
             tokens: 0,
             uses: 0,
             held: HashMap::new(),
@@ -36,7 +36,7 @@
     }
 
     /// Notes that a prompt with these prefixes was read.
-    pub fn note_read(&mut self, prefixes: &[PrefixBlock], now: MonotonicTime) {
+    pub fn record_prefill(&mut self, prefixes: &[PrefixBlock], now: MonotonicTime) {
         // Longer prefixes give way before the shorter ones that they need.
         for block in prefixes.iter().rev() {
             self.touch(block, now);
--- a/crates/core/src/routing/pool/query.rs
+++ b/crates/core/src/routing/pool/query.rs
@@ -76,7 +76,7 @@
 
 /// What a request is owed beside its answer, as far as it decides where it goes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RequestTerms {
+pub struct RequestConstraints {
     /// The tenant whose request it is; absent where callers need no key.
     pub tenant: Option<SubjectHandle>,
     /// Longest pause between two events of its answer that is harmless; absent where the route names none.
@@ -107,8 +107,8 @@
     /// force, beyond a suspected path, or with load that returns step by step.
     pub last_resort: bool,
     /// What it is owed.
-    pub terms: RequestTerms,
-    /// Rank among requests, from [`super::rank_of`].
+    pub constraints: RequestConstraints,
+    /// Rank among requests, from [`super::rank_for_priority`].
     pub rank: usize,
     /// Time left.
     pub remaining: Duration,
--- a/crates/core/src/routing/pool/reach.rs
+++ b/crates/core/src/routing/pool/reachability.rs
@@ -9,7 +9,7 @@
 impl PoolRouter {
     /// Whether the request may go to a zone; anywhere where nothing else is left.
     pub(super) fn reaches(&self, query: &PoolQuery<'_>, zone: &ZoneId, now: MonotonicTime) -> bool {
-        let may_be_trial = !query.terms.single_try;
+        let may_be_trial = !query.constraints.single_try;
         query.last_resort || self.paths.admits(query.zone, zone, query.draw, may_be_trial, now)
     }
 
--- a/crates/core/src/routing/pool/risk.rs
+++ b/crates/core/src/routing/pool/risk.rs
@@ -8,39 +8,39 @@
 use std::time::Duration;
 
 /// Share of a break in the share of dispatches that broke: two in a row make it more likely than not.
-const BREAK_SHARE: f64 = 0.3;
+const FAILURE_WEIGHT: f64 = 0.3;
 
 /// Share of an answer in it: as many answers as an engine gives in a second outweigh one break.
-const ANSWER_SHARE: f64 = 0.1;
+const SUCCESS_WEIGHT: f64 = 0.1;
 
 /// Time after which half of a share is forgotten, so that an engine that nobody uses for it is tried again.
 const HALF_LIFE: Duration = Duration::from_secs(10);
 
 /// Risk of a spot engine whose zone takes spot engines back, though it is not listed as leaving: the platform has taken
 /// some of a zone's and may take the rest.
-const TAKEN_BACK_RISK: f64 = 0.2;
+const RECLAIM_RISK: f64 = 0.2;
 
 /// Time for which it is one.
-const TAKEN_BACK_FOR: Duration = Duration::from_secs(10);
+const RECLAIM_RISK_DURATION: Duration = Duration::from_secs(10);
 
 /// Share of an engine's dispatches that broke of late.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct BreakShare {
+pub struct FailureRate {
     share: f64,
     broke_at: MonotonicTime,
 }
 
-impl BreakShare {
+impl FailureRate {
     /// A connection broke or fell silent.
-    pub fn broke(&mut self, now: MonotonicTime) {
+    pub fn record_failure(&mut self, now: MonotonicTime) {
         let share = self.at(now);
-        self.share = share + BREAK_SHARE * (1.0 - share);
+        self.share = share + FAILURE_WEIGHT * (1.0 - share);
         self.broke_at = now;
     }
 
     /// A dispatch was answered.
-    pub fn answered(&mut self) {
-        self.share -= ANSWER_SHARE * self.share;
+    pub fn record_success(&mut self) {
+        self.share -= SUCCESS_WEIGHT * self.share;
     }
 
     /// The share, from zero to one.
@@ -55,9 +55,9 @@
     pub fn risk(&self, now: MonotonicTime) -> f64 {
         let taken_back = self
             .reclaim_seen_at
-            .is_some_and(|at| now.since(at) < TAKEN_BACK_FOR);
+            .is_some_and(|at| now.since(at) < RECLAIM_RISK_DURATION);
         let listed = if taken_back && self.engine.spot {
-            TAKEN_BACK_RISK
+            RECLAIM_RISK
         } else {
             0.0
         };
--- a/crates/core/src/routing/pool/router.rs
+++ b/crates/core/src/routing/pool/router.rs
@@ -1,8 +1,8 @@
 //! The router and what it knows of each engine.
 
-use super::beliefs::PrefixNews;
+use super::peer_reports::PrefixUpdate;
 use super::cordons::ActiveCordon;
-use super::demand::PromptDemand;
+use super::prompt_demand::PromptDemand;
 use super::engine::{DELISTED_RETENTION, Delisted, EngineStage, EngineState, PoolEngine, ReportedLoad};
 use super::limits::SentRate;
 use super::pace::{PaceChange, PoolPace};
@@ -20,7 +20,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 /// Memory assumed of an engine whose pool does not tell, in tokens.
-const ASSUMED_CACHE_TOKENS: u64 = 400_000;
+const DEFAULT_CACHE_TOKENS: u64 = 400_000;
 
 /// Chooses engines for forwarded requests; holds no socket, thread or clock.
 #[derive(Clone, Debug)]
@@ -29,11 +29,11 @@
     pub(super) engines: BTreeMap<EngineId, EngineState>,
     pub(super) engine_of: HashMap<SubjectHandle, EngineId>,
     /// Engines at which each other node last told of work.
-    pub(super) named_by: BTreeMap<NodeId, Vec<SubjectHandle>>,
+    pub(super) engines_reported_by: BTreeMap<NodeId, Vec<SubjectHandle>>,
     pub(super) speeds: BTreeMap<PoolId, PoolSpeeds>,
     pub(super) paces: BTreeMap<PoolId, PoolPace>,
     pub(super) traits: BTreeMap<PoolId, ModelTraits>,
-    pub(super) prefix_updates: Vec<PrefixNews>,
+    pub(super) prefix_updates: Vec<PrefixUpdate>,
     /// Whether what is sent from one zone reaches engines in another.
     pub(super) paths: Paths,
     pub(super) pending_silences: Vec<PendingSilence>,
@@ -41,13 +41,13 @@
     /// Engines whose momentary figure others are to be told.
     pub(super) unsent_paces: Vec<SubjectHandle>,
     /// The last engine whose lasting speed others were told.
-    pub(super) lasting_cursor: Option<EngineId>,
+    pub(super) lasting_pace_cursor: Option<EngineId>,
     /// Changes of lasting speeds that are to be reported.
     pub(super) pace_changes: Vec<PaceChange>,
     pub(super) demand: PromptDemand,
     /// Requests that this node sent, by pool and stage.
     pub(super) sent_rates: BTreeMap<(PoolId, EngineStage), SentRate>,
-    pub(super) tickets: u64,
+    pub(super) last_ticket_number: u64,
     /// Cordons in force.
     pub(super) cordons: Vec<ActiveCordon>,
     pub(super) sharing: UseLedger,
@@ -64,7 +64,7 @@
             weights,
             engines: BTreeMap::new(),
             engine_of: HashMap::new(),
-            named_by: BTreeMap::new(),
+            engines_reported_by: BTreeMap::new(),
             speeds: BTreeMap::new(),
             paces: BTreeMap::new(),
             traits: BTreeMap::new(),
@@ -73,11 +73,11 @@
             pending_silences: Vec::new(),
             availability_changes: Vec::new(),
             unsent_paces: Vec::new(),
-            lasting_cursor: None,
+            lasting_pace_cursor: None,
             pace_changes: Vec::new(),
             demand: PromptDemand::default(),
             sent_rates: BTreeMap::new(),
-            tickets: 0,
+            last_ticket_number: 0,
             cordons: Vec::new(),
             sharing: UseLedger::default(),
             signals: SignalRegister::default(),
@@ -97,13 +97,13 @@
     }
 
     /// Takes an engine into use, or its new listing where it is in use.
-    pub(super) fn put_engine(&mut self, engine: PoolEngine) {
+    pub(super) fn upsert_engine(&mut self, engine: PoolEngine) {
         let id = engine.id.clone();
         match self.engines.get_mut(&id) {
             Some(state) => state.update(engine),
             None => {
                 let traits = self.traits.get(&engine.pool);
-                let tokens = traits.map_or(ASSUMED_CACHE_TOKENS, |traits| traits.cache_tokens);
+                let tokens = traits.map_or(DEFAULT_CACHE_TOKENS, |traits| traits.cache_tokens);
                 let mut state = EngineState::new(engine, tokens);
                 state.backoff_end = self.signals.backoff_end(state.handle);
                 self.init_pace(&mut state);
@@ -169,7 +169,7 @@
     }
 
     /// The engine with a handle.
-    pub(super) fn state_of(&mut self, handle: SubjectHandle) -> Option<&mut EngineState> {
+    pub(super) fn state_by_handle(&mut self, handle: SubjectHandle) -> Option<&mut EngineState> {
         self.engines.get_mut(self.engine_of.get(&handle)?)
     }
 
@@ -181,20 +181,20 @@
     }
 
     /// The engine with a short name; absent where it is not known.
-    pub fn engine_named(&self, handle: SubjectHandle) -> Option<EngineId> {
+    pub fn engine_by_handle(&self, handle: SubjectHandle) -> Option<EngineId> {
         self.engine_of.get(&handle).cloned()
     }
 
     /// The known ones of some engines.
-    pub fn engines_of(&self, handles: &[SubjectHandle]) -> Vec<EngineId> {
+    pub fn engines_by_handle(&self, handles: &[SubjectHandle]) -> Vec<EngineId> {
         handles
             .iter()
-            .filter_map(|handle| self.engine_named(*handle))
+            .filter_map(|handle| self.engine_by_handle(*handle))
             .collect()
     }
 
     /// Takes the load that an engine told in an answer.
-    pub fn on_told(&mut self, engine: &EngineId, told: ReportedLoad, now: MonotonicTime) {
+    pub fn on_reported_load(&mut self, engine: &EngineId, told: ReportedLoad, now: MonotonicTime) {
         let state = self.engines.get_mut(engine);
         // What an earlier start told says nothing of the engine as it is, nor of its pool's machines now.
         let Some(state) = state.filter(|state| !state.has_later_start()) else {
@@ -216,7 +216,7 @@
     }
 
     /// Engines that take work now.
-    pub fn taking_work(&self, now: MonotonicTime) -> usize {
+    pub fn engines_taking_work(&self, now: MonotonicTime) -> usize {
         self.engines
             .values()
             .filter(|state| state.takes_work(now, false))
@@ -224,7 +224,7 @@
     }
 
     /// Engines of a pool that may run outputs now, those left alone for a while among them.
-    pub fn runners(&self, pool: &PoolId, now: MonotonicTime) -> usize {
+    pub fn decode_capable_engines(&self, pool: &PoolId, now: MonotonicTime) -> usize {
         let engines = self.engines.values();
         engines
             .filter(|state| state.engine.pool == *pool && state.engine.stage != EngineStage::Prefill)
--- a/crates/core/src/routing/pool/unresponsive_engines.rs
+++ b/crates/core/src/routing/pool/unresponsive_engines.rs
@@ -3,7 +3,7 @@
 //! One placer of a large fleet sees an eighth of the requests. Until each had learned of every silent engine and path by
 //! itself, eight times as many requests waited for them.
 
-use super::beliefs::SilenceWord;
+use super::peer_reports::SilenceReport;
 use super::dispatches::PoolTicket;
 use super::paths::PathChange;
 use super::router::PoolRouter;
@@ -47,7 +47,7 @@
             return;
         };
         let pause = state.health.on_unresponsive(now);
-        state.breaks.broke(now);
+        state.breaks.record_failure(now);
         let (zone, engine) = (state.engine.zone.clone(), state.handle);
         let from = ticket.from();
         if pause.is_some() {
@@ -67,11 +67,11 @@
 
     /// Takes another placer's word of engines that fell silent. What nobody has heard since the request was sent is left
     /// alone for a moment where `leaves_alone`, unless the path to it is what is suspected.
-    pub fn on_peer_silence_reports(&mut self, words: &[SilenceWord], leaves_alone: bool, now: MonotonicTime) {
+    pub fn on_peer_silence_reports(&mut self, words: &[SilenceReport], leaves_alone: bool, now: MonotonicTime) {
         for word in words {
             let sent_before = Duration::from_millis(word.sent_before_millis.into());
             let sent_at = now.earlier(sent_before).unwrap_or_default();
-            let Some(state) = self.state_of(word.engine) else {
+            let Some(state) = self.state_by_handle(word.engine) else {
                 continue;
             };
             let zone = state.engine.zone.clone();
@@ -80,7 +80,7 @@
             self.paths
                 .record_reported_silence(&word.from, &zone, word.engine, engines, sent_at, now);
             let path_works = self.paths.allows_transfer(&word.from, &zone);
-            if let Some(state) = self.state_of(word.engine)
+            if let Some(state) = self.state_by_handle(word.engine)
                 && leaves_alone
                 && path_works
                 && !is_heard
@@ -95,12 +95,12 @@
     }
 
     /// Silences since the last call, for other placers; at most `most`, the rest follows at the next call.
-    pub fn take_silence_reports(&mut self, most: usize, now: MonotonicTime) -> Vec<SilenceWord> {
+    pub fn take_silence_reports(&mut self, most: usize, now: MonotonicTime) -> Vec<SilenceReport> {
         let rest = self
             .pending_silences
             .split_off(most.min(self.pending_silences.len()));
         let told = std::mem::replace(&mut self.pending_silences, rest);
-        let words = told.into_iter().map(|silence| SilenceWord {
+        let words = told.into_iter().map(|silence| SilenceReport {
             engine: silence.engine,
             from: silence.from,
             sent_before_millis: u32::try_from(now.since(silence.sent_at).as_millis()).unwrap_or(u32::MAX),
--- a/crates/core/src/routing/pool/working_set/members.rs
+++ b/crates/core/src/routing/pool/working_set/members.rs
@@ -60,7 +60,7 @@
         if let Some(engine) = self.take_from_reserve(handle) {
             self.begin_use(handle, engine);
         }
-        self.engine_named(handle)
+        self.engine_by_handle(handle)
     }
 
     /// Updates the wanted numbers from the load, at most once in each interval, and brings engines into use or returns
@@ -148,7 +148,7 @@
             let index = self.working_set.add_engine(handle, &engine, &settings);
             self.working_set.groups[index].in_use.insert(handle);
         }
-        self.put_engine(engine);
+        self.upsert_engine(engine);
     }
 
     /// Returns engines without any state to the reserve, the last in order first, while there are more than the target.
--- a/crates/core/tests/cordons.rs
+++ b/crates/core/tests/cordons.rs
@@ -12,7 +12,7 @@
 use shelfjunction_core::identity::ZoneId;
 use shelfjunction_core::metering::UnixTime;
 use shelfjunction_core::routing::pool::{
-    ActiveCordon, AvoidanceReason, EngineStage, PoolQuery, PoolRoute, PoolRouter, PoolWeights, RequestTerms,
+    ActiveCordon, AvoidanceReason, EngineStage, PoolQuery, PoolRoute, PoolRouter, PoolWeights, RequestConstraints,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -57,7 +57,7 @@
         zone: &zone,
         excluded: &[],
         last_resort: false,
-        terms: RequestTerms::default(),
+        constraints: RequestConstraints::default(),
         rank: 1,
         remaining: Duration::from_secs(5),
         slot_max_wait: Duration::ZERO,
--- a/crates/core/tests/engine_pace.rs
+++ b/crates/core/tests/engine_pace.rs
@@ -9,7 +9,7 @@
 use shelfjunction_core::routing::pool::{
     EnginePaceUse, EngineStage, KvCacheSource, LastingPace, LastingPaceReport, PacePersistence, PaceReports,
     PoolQuery, PoolRoute, PoolRouter, PoolWeights, PrefixBlock, PromptPart, PromptShape, ReportedLoad,
-    ReportedPace, RequestTerms,
+    ReportedPace, RequestConstraints,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -94,7 +94,7 @@
         zone,
         excluded: &[],
         last_resort: false,
-        terms: RequestTerms::default(),
+        constraints: RequestConstraints::default(),
         rank: 0,
         remaining: Duration::from_secs(5),
         slot_max_wait: Duration::ZERO,
@@ -106,7 +106,7 @@
 fn a_told_figure_counts_at_once_and_fades_to_the_usual_one() {
     let mut router = router(EnginePaceUse::WhereReported);
     let engine = EngineId::new("d1");
-    router.on_told(&engine, told(Some(250)), NOW);
+    router.on_reported_load(&engine, told(Some(250)), NOW);
     let at_once = factor(&router, "d1", NOW);
     let later = factor(&router, "d1", NOW + millis(300));
     let too_old = factor(&router, "d1", NOW + millis(5_000));
@@ -124,8 +124,8 @@
     let mut router = router(EnginePaceUse::WhereReported);
     for second in 0..100 {
         let now = NOW + Duration::from_secs(second);
-        router.on_told(&EngineId::new("d1"), told(Some(200)), now);
-        router.on_told(&EngineId::new("d2"), told(Some(100)), now);
+        router.on_reported_load(&EngineId::new("d1"), told(Some(200)), now);
+        router.on_reported_load(&EngineId::new("d2"), told(Some(100)), now);
     }
     let late = NOW + Duration::from_secs(200);
     assert!(factor(&router, "d1", late) > 1.7);
@@ -136,7 +136,7 @@
 fn nonsense_is_no_figure() {
     for percent in [0, 9, 5_001, u32::MAX] {
         let mut router = router(EnginePaceUse::WhereReported);
-        router.on_told(&EngineId::new("d1"), told(Some(percent)), NOW);
+        router.on_reported_load(&EngineId::new("d1"), told(Some(percent)), NOW);
         assert!(!router.engine(&EngineId::new("d1")).unwrap().pace().in_use());
         assert_eq!(factor(&router, "d1", NOW), 1.0);
         let words = PaceReports {
@@ -148,7 +148,7 @@
             lasting: Vec::new(),
         };
         router.on_pace_reports(&words, NOW);
-        router.on_told(&EngineId::new("d2"), told(Some(100)), NOW);
+        router.on_reported_load(&EngineId::new("d2"), told(Some(100)), NOW);
         assert_eq!(factor(&router, "d1", NOW), 1.0);
     }
 }
@@ -160,7 +160,7 @@
     for router in [&mut untold, &mut off] {
         for second in 0..30 {
             let now = NOW + Duration::from_secs(second);
-            router.on_told(&EngineId::new("d1"), told(None), now);
+            router.on_reported_load(&EngineId::new("d1"), told(None), now);
             read(router, "p1", millis(90 + 13 * (second % 5)), now);
             run(router, "d1", millis(400), now);
         }
@@ -179,7 +179,7 @@
     let mut router = router(EnginePaceUse::WhereReported);
     for round in 0..200 {
         let now = NOW + millis(1_000 * round);
-        router.on_told(&EngineId::new("d1"), told(Some(100)), now);
+        router.on_reported_load(&EngineId::new("d1"), told(Some(100)), now);
         run(&mut router, "d1", millis(300), now);
         run(&mut router, "d2", millis(600), now);
     }
@@ -201,12 +201,12 @@
         for (engine, slow) in [("d1", round % 3 == 0), ("d2", round % 3 == 1)] {
             let percent = if slow { 300 } else { 100 };
             let took = if slow { 1_200 } else { 400 };
-            router.on_told(&EngineId::new(engine), told(Some(percent)), now);
+            router.on_reported_load(&EngineId::new(engine), told(Some(percent)), now);
             let (pool, zone, prompt) = (pool(), ZoneId::new("zone-a"), prompt());
             let query = query(&pool, &zone, &prompt, &[]);
             let ticket = router.on_output_sent(&EngineId::new(engine), &query, KvCacheSource::Transfer, now);
             router.on_output_started(&ticket, &[], now);
-            router.on_told(&EngineId::new(engine), told(Some(percent)), now + millis(took));
+            router.on_reported_load(&EngineId::new(engine), told(Some(percent)), now + millis(took));
             router.on_output_ended(&ticket, now + millis(took));
             router.on_answered(&ticket);
         }
@@ -254,13 +254,13 @@
     let mut old = router(EnginePaceUse::WhereReported);
     for round in 0..60 {
         let now = NOW + millis(1_000 * round);
-        old.on_told(&EngineId::new("d1"), told(Some(100)), now);
+        old.on_reported_load(&EngineId::new("d1"), told(Some(100)), now);
         run(&mut old, "d1", millis(300), now);
         run(&mut old, "d2", millis(900), now);
     }
     let now = NOW + Duration::from_secs(70);
     let mut new = router(EnginePaceUse::WhereReported);
-    new.on_told(&EngineId::new("p1"), told(Some(100)), now);
+    new.on_reported_load(&EngineId::new("p1"), told(Some(100)), now);
     // One engine at a time; the first word is lost.
     let told_engines: Vec<_> = (0..4)
         .map(|_| old.take_pace_reports(8, 1, now))
@@ -273,8 +273,8 @@
     let known = factor(&old, "d2", now) / factor(&old, "d1", now);
     assert!(ratio > 2.0 && ratio < known * 1.2, "{ratio} {known}");
     // A figure that surprises is told once, with its age, and one that doesn't is not.
-    old.on_told(&EngineId::new("d1"), told(Some(250)), now);
-    old.on_told(&EngineId::new("d2"), told(Some(100)), now);
+    old.on_reported_load(&EngineId::new("d1"), told(Some(250)), now);
+    old.on_reported_load(&EngineId::new("d2"), told(Some(100)), now);
     let words = old.take_pace_reports(8, 0, now + millis(50));
     let handle = old.handle_of(&EngineId::new("d1"));
     assert_eq!(
@@ -313,13 +313,13 @@
         let mut router = router(EnginePaceUse::WhereReported);
         for round in 0..40 {
             let now = NOW + millis(1_000 * round);
-            router.on_told(&EngineId::new("d1"), told(Some(100)), now);
+            router.on_reported_load(&EngineId::new("d1"), told(Some(100)), now);
             run(&mut router, "d1", millis(400), now);
             run(&mut router, "d2", millis(400), now);
         }
         let now = NOW + Duration::from_secs(60);
-        router.on_told(&EngineId::new("d1"), told(Some(percents[0])), now);
-        router.on_told(&EngineId::new("d2"), told(Some(percents[1])), now);
+        router.on_reported_load(&EngineId::new("d1"), told(Some(percents[0])), now);
+        router.on_reported_load(&EngineId::new("d2"), told(Some(percents[1])), now);
         let (pool, zone, prompt) = (pool(), ZoneId::new("zone-a"), prompt());
         let query = query(&pool, &zone, &prompt, &[]);
         match router.choose(&query, now) {
--- a/crates/core/tests/engine_signals.rs
+++ b/crates/core/tests/engine_signals.rs
@@ -9,7 +9,7 @@
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::routing::pool::{
     EngineStage, NotAccepting, PoolEngine, PoolQuery, PoolRoute, PoolRouter, PoolWeights, ReportedLoad,
-    RequestTerms, WorkingSetSettings,
+    RequestConstraints, WorkingSetSettings,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -93,7 +93,7 @@
             now = now + Duration::from_millis(pause);
             apply(&mut router, source, &drains, now);
             router.update_working_set(now);
-            prop_assert_eq!(router.taking_work(now), 0);
+            prop_assert_eq!(router.engines_taking_work(now), 0);
             prop_assert_eq!(router.reserve().count(), 0);
             prop_assert_eq!(router.not_accepting(&drains.id, now), Some(NotAccepting::Draining));
         }
@@ -106,7 +106,7 @@
     let mut router = router(std::slice::from_ref(&first));
     router.on_draining(handle(&first));
     router.on_engine_listed(second.clone());
-    assert_eq!(router.taking_work(NOW), 1);
+    assert_eq!(router.engines_taking_work(NOW), 1);
     assert_eq!(router.not_accepting(&second.id, NOW), None);
     assert_eq!(router.not_accepting(&first.id, NOW), Some(NotAccepting::Draining));
 }
@@ -125,7 +125,7 @@
     let mut router = router_with(weights, 64, None, &engines);
     let drains = router.in_use().pop().expect("one is in use");
     router.on_draining(handle(&drains));
-    let taking = router.taking_work(NOW);
+    let taking = router.engines_taking_work(NOW);
     assert_eq!(taking, 1);
     assert_eq!(router.reserve().count(), 0);
 }
@@ -152,7 +152,7 @@
             from_this_node,
             excluded: &[],
             last_resort: false,
-            terms: RequestTerms::default(),
+            constraints: RequestConstraints::default(),
             draw,
             rank: 1,
             remaining: Duration::from_secs(5),
@@ -195,7 +195,7 @@
     let mut router = router(std::slice::from_ref(&only));
     router.on_backoff_requested(&only.id, BACKOFF, NOW);
     router.on_backoff_requested(&only.id, BACKOFF / 10, NOW);
-    router.on_told(&only.id, ReportedLoad::default(), NOW);
+    router.on_reported_load(&only.id, ReportedLoad::default(), NOW);
     router.on_engine_listed(only.clone());
     let before_end = NOW + BACKOFF - Duration::from_millis(1);
     assert_eq!(part_to(&router, "only", true, before_end), 0);
--- a/crates/core/tests/engine_starts.rs
+++ b/crates/core/tests/engine_starts.rs
@@ -17,9 +17,9 @@
 use shelfjunction_core::quarantine::config::QuarantineSettings;
 use shelfjunction_core::quarantine::{Asked, Fingerprint, Quarantine, Standing};
 use shelfjunction_core::routing::pool::{
-    ActiveCordon, AvoidanceReason, EngineListing, EngineStage, EngineState, ListChange, PeerWork,
-    PoolAdmission, PoolEngine, PoolRouter, PoolWeights, PrefixNews, PromptPart, PromptShape, ReportedLoad,
-    RequestTerms, WorkSlice,
+    ActiveCordon, AvoidanceReason, EngineListing, EngineStage, EngineState, ListChange, PeerLoad,
+    PoolAdmission, PoolEngine, PoolRouter, PoolWeights, PrefixUpdate, PromptPart, PromptShape, ReportedLoad,
+    RequestConstraints, PeerLoadSlice,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -137,7 +137,7 @@
             output_estimate: None,
         },
         zone: ZoneId::new("zone-a"),
-        terms: RequestTerms::default(),
+        constraints: RequestConstraints::default(),
         rank: 1,
         remaining: Duration::from_secs(4),
     }
@@ -154,8 +154,8 @@
     SubjectHandle::of_engine(&id(start))
 }
 
-fn news(start: u64) -> PrefixNews {
-    PrefixNews {
+fn news(start: u64) -> PrefixUpdate {
+    PrefixUpdate {
         engine: handle(start),
         prefixes: request().prompt.prefixes(),
         just_answered: true,
@@ -184,12 +184,12 @@
     let mut node = Node::new();
     node.hear(2, gone_by_name(), true, at(100));
     assert_eq!(
-        node.router.taking_work(at(110)),
+        node.router.engines_taking_work(at(110)),
         1,
         "only its entry may have lapsed"
     );
     node.hear(3, listed(2), false, at(120));
-    assert_eq!(node.router.taking_work(at(120)), 1);
+    assert_eq!(node.router.engines_taking_work(at(120)), 1);
     assert_eq!(chosen(node.answer(1, 1, at(121))), Some(handle(2)));
     assert!(node.state(1).has_later_start() && !node.state(1).stays());
     assert!(!node.state(1).is_about_to_leave());
@@ -200,13 +200,13 @@
     let mut node = Node::new();
     node.hear(2, gone_by_name(), true, at(100));
     node.hear(3, unreadable(), true, at(110));
-    assert_eq!(node.router.taking_work(at(110)), 0);
+    assert_eq!(node.router.engines_taking_work(at(110)), 0);
     assert_eq!(node.answer(1, 1, at(111)), Placement::Nowhere);
     let mut node = Node::new();
     node.hear(2, unreadable(), true, at(100));
-    assert_eq!(node.router.taking_work(at(100)), 0);
+    assert_eq!(node.router.engines_taking_work(at(100)), 0);
     node.hear(3, listed(1), false, at(200));
-    assert_eq!(node.router.taking_work(at(200)), 1);
+    assert_eq!(node.router.engines_taking_work(at(200)), 1);
 }
 
 #[test]
@@ -228,10 +228,10 @@
 #[test]
 fn late_words_of_the_earlier_start_touch_nothing_of_the_later_one_at_66_nodes() {
     let mut nodes: Vec<Node> = (0..NODES).map(|_| Node::new()).collect();
-    let work = PeerWork {
+    let work = PeerLoad {
         prompt_tokens: [50_000; 4],
         requests: 8,
-        ..PeerWork::default()
+        ..PeerLoad::default()
     };
     let peer = NodeId::new("peer");
     for node in &mut nodes {
@@ -239,7 +239,7 @@
         assert_eq!(chosen(node.answer(1, 1, at(10))), Some(handle(1)));
         assert_eq!(chosen(node.answer(2, 1, at(11))), Some(handle(1)));
         node.router
-            .on_peer_load(&peer, WorkSlice::ALL, &[(handle(1), work)], at(12));
+            .on_peer_load(&peer, PeerLoadSlice::ALL, &[(handle(1), work)], at(12));
         assert_eq!(node.state(1).load(at(13)).requests, 10.0);
         node.hear(2, listed(2), false, at(100));
     }
@@ -260,7 +260,7 @@
         node.progress(1, DispatchProgress::ConnectionFailed, at(111));
         node.progress(2, DispatchProgress::Answered { pauses: vec![400] }, at(112));
         node.router
-            .on_peer_load(&peer, WorkSlice::ALL, &[(handle(1), work)], at(113));
+            .on_peer_load(&peer, PeerLoadSlice::ALL, &[(handle(1), work)], at(113));
         node.router.on_prefix_updates(&[news(1)], at(114));
         node.router
             .on_ordered(&[(handle(1), EngineStage::Prefill)], at(115));
@@ -273,7 +273,7 @@
         assert!(!state.answered_recently(now), "liveness");
         assert_eq!(state.ordered_stage(now), None, "orders");
         assert_eq!(state.work_factor(now), 1.0);
-        assert_eq!(node.router.taking_work(now), 1, "health");
+        assert_eq!(node.router.engines_taking_work(now), 1, "health");
         assert_eq!(node.router.own_load(), [], "the earlier one's work has ended");
         assert_eq!(chosen(node.answer(3, 1, now)), Some(handle(2)));
         assert_eq!(node.state(2).load(now).requests, 1.0);
@@ -284,14 +284,14 @@
 fn words_of_a_start_that_a_node_has_not_heard_of_are_passed_over() {
     let mut node = Node::new();
     node.router.on_prefix_updates(&[news(2)], at(10));
-    let work = PeerWork {
+    let work = PeerLoad {
         requests: 3,
-        ..PeerWork::default()
+        ..PeerLoad::default()
     };
     let peer = NodeId::new("peer");
     node.router
-        .on_peer_load(&peer, WorkSlice::ALL, &[(handle(2), work)], at(11));
-    assert_eq!(node.router.engine_named(handle(2)), None);
+        .on_peer_load(&peer, PeerLoadSlice::ALL, &[(handle(2), work)], at(11));
+    assert_eq!(node.router.engine_by_handle(handle(2)), None);
     assert!(node.state(1).prefixes.is_empty());
     assert_eq!(node.state(1).load(at(12)).requests, 0.0);
 }
--- a/crates/core/tests/engine_troubles.rs
+++ b/crates/core/tests/engine_troubles.rs
@@ -13,7 +13,7 @@
 use shelfjunction_core::routing::health::Health;
 use shelfjunction_core::routing::pool::{
     EngineStage, KvCacheSource, PoolEngine, PoolQuery, PoolRoute, PoolRouter, PoolWeights, PrefixBlock,
-    PrefixNews, PromptPart, PromptShape, RequestTerms, SilenceWord,
+    PrefixUpdate, PromptPart, PromptShape, RequestConstraints, SilenceReport,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -59,9 +59,9 @@
             zone: &self.zone,
             excluded: &[],
             last_resort: false,
-            terms: RequestTerms {
+            constraints: RequestConstraints {
                 single_try: self.single_try,
-                ..RequestTerms::default()
+                ..RequestConstraints::default()
             },
             rank: 0,
             remaining: Duration::from_secs(5),
@@ -152,8 +152,8 @@
         assert!(broken.is_backing_off(after(50)));
     }
 
-    fn word(engine: &str, sent_before_millis: u32) -> SilenceWord {
-        SilenceWord {
+    fn word(engine: &str, sent_before_millis: u32) -> SilenceReport {
+        SilenceReport {
             engine: SubjectHandle::of_engine(&EngineId::new(engine)),
             from: ZoneId::new("zone-a"),
             sent_before_millis,
@@ -174,7 +174,7 @@
         );
         router.on_peer_silence_reports(&[word("d1", 250)], true, after(700));
         assert_eq!(to(&router, &asked, "d1", after(710)), 0);
-        let news = PrefixNews {
+        let news = PrefixUpdate {
             engine: SubjectHandle::of_engine(&EngineId::new("d1")),
             prefixes: Vec::new(),
             just_answered: true,
--- a/crates/core/tests/pace_world/mod.rs
+++ b/crates/core/tests/pace_world/mod.rs
@@ -9,7 +9,7 @@
 use shelfjunction_core::identity::{EngineId, NodeId, ZoneId};
 use shelfjunction_core::routing::pool::{
     EnginePaceUse, EngineStage, KvCacheSource, PoolQuery, PoolRoute, PoolRouter, PoolTicket, PoolWeights,
-    PrefixBlock, PromptPart, PromptShape, ReportedLoad, RequestTerms, WorkSlice,
+    PrefixBlock, PromptPart, PromptShape, ReportedLoad, RequestConstraints, PeerLoadSlice,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::collections::BTreeMap;
@@ -114,7 +114,7 @@
 type Words = (
     Vec<(
         shelfjunction_core::membership::subject::SubjectHandle,
-        shelfjunction_core::routing::pool::PeerWork,
+        shelfjunction_core::routing::pool::PeerLoad,
     )>,
     shelfjunction_core::routing::pool::PaceReports,
 );
@@ -198,7 +198,7 @@
             Happening::Begun { request, ticket } => {
                 let told = self.told(ticket.engine(), now);
                 let router = &mut self.routers[request.placer];
-                router.on_told(ticket.engine(), told, now);
+                router.on_reported_load(ticket.engine(), told, now);
                 router.on_output_started(&ticket, &request.prefixes, now);
             }
             Happening::Ended {
@@ -216,7 +216,7 @@
             Happening::Heard { to, from, work } => {
                 let (work, paces) = work;
                 let node = NodeId::new(format!("n{from}"));
-                self.routers[to].on_peer_load(&node, WorkSlice::ALL, &work, now);
+                self.routers[to].on_peer_load(&node, PeerLoadSlice::ALL, &work, now);
                 self.routers[to].on_pace_reports(&paces, now);
             }
         }
@@ -268,7 +268,7 @@
         let zone = ZoneId::new("zone-a");
         let pool = pool();
         let router = &mut self.routers[request.placer];
-        router.on_told(ticket.engine(), told, now);
+        router.on_reported_load(ticket.engine(), told, now);
         router.on_prompt_prefilled(ticket, &request.prefixes, now);
         let query = request.query(&pool, &zone);
         let chosen = router.choose_output(&query, ticket.engine(), now);
@@ -358,7 +358,7 @@
             zone,
             excluded: &[],
             last_resort: false,
-            terms: RequestTerms::default(),
+            constraints: RequestConstraints::default(),
             rank: 0,
             remaining: Duration::from_secs(5),
             slot_max_wait: Duration::ZERO,
--- a/crates/core/tests/path_world/mod.rs
+++ b/crates/core/tests/path_world/mod.rs
@@ -10,7 +10,7 @@
     DispatchProgress, Placement, PlacementKind, PlacementQuery, ProgressReport, RequestKey, RequestSummary,
 };
 use shelfjunction_core::routing::pool::{
-    EngineStage, PoolAdmission, PoolEngine, PoolRouter, PoolWeights, PromptPart, PromptShape, RequestTerms,
+    EngineStage, PoolAdmission, PoolEngine, PoolRouter, PoolWeights, PromptPart, PromptShape, RequestConstraints,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::cmp::Reverse;
@@ -212,9 +212,9 @@
                 pool: pool(),
                 prompt: prompt(request.key.number),
                 zone: request.outcome.from.clone(),
-                terms: RequestTerms {
+                constraints: RequestConstraints {
                     single_try: request.outcome.single_try,
-                    ..RequestTerms::default()
+                    ..RequestConstraints::default()
                 },
                 rank: 1,
                 remaining: Duration::from_secs(8),
--- a/crates/core/tests/paths.rs
+++ b/crates/core/tests/paths.rs
@@ -302,7 +302,7 @@
     use shelfjunction_core::identity::EngineId;
     use shelfjunction_core::routing::pool::{
         EngineStage, KvCacheSource, PoolEngine, PoolQuery, PoolRouter, PoolWeights, PromptPart, PromptShape,
-        RequestTerms,
+        RequestConstraints,
     };
 
     struct Asked {
@@ -339,7 +339,7 @@
                 zone: &self.zone,
                 excluded: &[],
                 last_resort: false,
-                terms: RequestTerms::default(),
+                constraints: RequestConstraints::default(),
                 rank: 0,
                 remaining: Duration::from_secs(5),
                 slot_max_wait: Duration::ZERO,
--- a/crates/core/tests/pauses_world/mod.rs
+++ b/crates/core/tests/pauses_world/mod.rs
@@ -14,8 +14,8 @@
 use rand::{Rng, SeedableRng};
 use shelfjunction_core::identity::{EngineId, NodeId, ZoneId};
 use shelfjunction_core::routing::pool::{
-    EngineStage, KvCacheSource, PoolQuery, PoolRoute, PoolRouter, PromptPart, PromptShape, RequestTerms,
-    WorkSlice,
+    EngineStage, KvCacheSource, PoolQuery, PoolRoute, PoolRouter, PromptPart, PromptShape, RequestConstraints,
+    PeerLoadSlice,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::cmp::Reverse;
@@ -136,7 +136,7 @@
             let works = self.routers[from].own_load();
             let name = NodeId::new(format!("node-{from}"));
             for to in (0..self.routers.len()).filter(|to| *to != from) {
-                self.routers[to].on_peer_load(&name, WorkSlice::ALL, &works, now);
+                self.routers[to].on_peer_load(&name, PeerLoadSlice::ALL, &works, now);
             }
         }
         if self.now < self.ends_at() {
@@ -219,9 +219,9 @@
             zone: &ZoneId::new("zone-a"),
             excluded: &[],
             last_resort: false,
-            terms: RequestTerms {
+            constraints: RequestConstraints {
                 max_event_gap: self.setup.bound,
-                ..RequestTerms::default()
+                ..RequestConstraints::default()
             },
             draw: (request as u64).wrapping_mul(0x9E37_79B9_7F4A_7C15),
             rank: 1,
--- a/crates/core/tests/placing.rs
+++ b/crates/core/tests/placing.rs
@@ -17,7 +17,7 @@
     RequestSummary,
 };
 use shelfjunction_core::routing::pool::{
-    Admission, EngineStage, PoolAdmission, PoolRouter, PoolWeights, PromptPart, PromptShape, RequestTerms,
+    Admission, EngineStage, PoolAdmission, PoolRouter, PoolWeights, PromptPart, PromptShape, RequestConstraints,
     RequestTiming,
 };
 use shelfjunction_core::time::MonotonicTime;
@@ -170,7 +170,7 @@
         },
         step,
         request: RequestSummary {
-            terms: RequestTerms::default(),
+            constraints: RequestConstraints::default(),
             pool: pool(),
             prompt: PromptShape {
                 model: "m".to_owned(),
@@ -427,7 +427,7 @@
 fn a_stream_that_paused_for_too_long_stays_counted_as_an_output_that_is_late_already() {
     let mut placer = Placer::new();
     let bounded = |mut question: PlacementQuery| {
-        question.request.terms.max_event_gap = Some(Duration::from_millis(200));
+        question.request.constraints.max_event_gap = Some(Duration::from_millis(200));
         question
     };
     placer.ask(&bounded(admission(1)), NOW);
--- a/crates/core/tests/pool_admission.rs
+++ b/crates/core/tests/pool_admission.rs
@@ -9,9 +9,9 @@
 use shelfjunction_core::forwarding::{CallerWaits, PoolId, RouteId};
 use shelfjunction_core::identity::{EngineId, NodeId, ZoneId};
 use shelfjunction_core::routing::pool::{
-    Admission, AdmissionDecision, EngineStage, EstimateError, KvCacheSource, LATE_RANK, PeerWork,
+    Admission, AdmissionDecision, EngineStage, EstimateError, KvCacheSource, LATE_RANK, PeerLoad,
     PoolAdmission, PoolQuery, PoolRoute, PoolRouter, PoolSpeeds, PoolWeights, PrefillSpeed, PrefixBlock,
-    PromptPart, PromptShape, RejectionRate, RequestTerms, RequestTiming, WorkSlice,
+    PromptPart, PromptShape, RejectionRate, RequestConstraints, RequestTiming, PeerLoadSlice,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -65,7 +65,7 @@
             zone: &self.zone,
             excluded: &[],
             last_resort: false,
-            terms: RequestTerms::default(),
+            constraints: RequestConstraints::default(),
             draw: 1,
             rank: 0,
             remaining: Duration::from_secs(5),
@@ -86,12 +86,12 @@
 fn waiting(rank: usize, tokens: u32) -> PoolRouter {
     let mut router = router();
     let handle = router.engine(&EngineId::new("p1")).unwrap().handle;
-    let mut work = PeerWork {
+    let mut work = PeerLoad {
         requests: 3,
-        ..PeerWork::default()
+        ..PeerLoad::default()
     };
     work.prompt_tokens[rank] = tokens;
-    router.on_peer_load(&NodeId::new("other"), WorkSlice::ALL, &[(handle, work)], NOW);
+    router.on_peer_load(&NodeId::new("other"), PeerLoadSlice::ALL, &[(handle, work)], NOW);
     router
 }
 
@@ -163,12 +163,12 @@
     let expected = |requests| {
         let mut router = router();
         let handle = router.engine(&EngineId::new("d1")).unwrap().handle;
-        let work = PeerWork {
+        let work = PeerLoad {
             requests,
             outputs: requests,
-            ..PeerWork::default()
+            ..PeerLoad::default()
         };
-        router.on_peer_load(&NodeId::new("other"), WorkSlice::ALL, &[(handle, work)], NOW);
+        router.on_peer_load(&NodeId::new("other"), PeerLoadSlice::ALL, &[(handle, work)], NOW);
         decide(&router, false, &PoolAdmission::default()).expected
     };
     assert_eq!(expected(0), expected(3), "one place is free");
--- a/crates/core/tests/pool_pauses.rs
+++ b/crates/core/tests/pool_pauses.rs
@@ -12,8 +12,8 @@
     EventInterval, PauseForecast, RecentPrefill, late_probability,
 };
 use shelfjunction_core::routing::pool::{
-    EngineLoad, EngineStage, KvCacheSource, PeerWork, PoolQuery, PoolRoute, PoolRouter, PoolWeights,
-    PrefillSpeed, PromptPart, PromptShape, RequestTerms, WorkSlice,
+    EngineLoad, EngineStage, KvCacheSource, PeerLoad, PoolQuery, PoolRoute, PoolRouter, PoolWeights,
+    PrefillSpeed, PromptPart, PromptShape, RequestConstraints, PeerLoadSlice,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -118,14 +118,14 @@
         ];
         let mut router = router_with(weights, 64, Some(1e-7), &engines);
         let handle = router.engine(&EngineId::new("d1")).unwrap().handle;
-        let work = PeerWork {
+        let work = PeerLoad {
             requests: 6,
             outputs: 6,
             streams: if bound_millis > 0 { 6 } else { 0 },
-            shortest_bound_millis: bound_millis,
-            ..PeerWork::default()
+            min_event_gap_limit_millis: bound_millis,
+            ..PeerLoad::default()
         };
-        router.on_peer_load(&NodeId::new("other"), WorkSlice::ALL, &[(handle, work)], NOW);
+        router.on_peer_load(&NodeId::new("other"), PeerLoadSlice::ALL, &[(handle, work)], NOW);
         router
     }
 
@@ -149,9 +149,9 @@
             zone: &ZoneId::new("zone-a"),
             excluded: &[],
             last_resort: false,
-            terms: RequestTerms {
+            constraints: RequestConstraints {
                 max_event_gap,
-                ..RequestTerms::default()
+                ..RequestConstraints::default()
             },
             draw: 0,
             rank: 1,
@@ -174,7 +174,7 @@
         };
         let (_, strict) = (send(300), send(200));
         let mut heard = |one: &PoolRouter| {
-            other.on_peer_load(&NodeId::new("one"), WorkSlice::ALL, &one.own_load(), NOW);
+            other.on_peer_load(&NodeId::new("one"), PeerLoadSlice::ALL, &one.own_load(), NOW);
             let work = other.engine(&engine).unwrap().load(NOW);
             (work.streams, work.min_event_gap_limit)
         };
@@ -206,14 +206,14 @@
         let engines = [engine_with("d1", EngineStage::Decode, 64)];
         let mut router = router_with(foreseeing(), 64, Some(1e-7), &engines);
         let handle = router.engine(&EngineId::new("d1")).unwrap().handle;
-        let work = PeerWork {
+        let work = PeerLoad {
             requests: 60,
             outputs: 60,
             streams: 60,
-            shortest_bound_millis: 1,
-            ..PeerWork::default()
+            min_event_gap_limit_millis: 1,
+            ..PeerLoad::default()
         };
-        router.on_peer_load(&NodeId::new("other"), WorkSlice::ALL, &[(handle, work)], NOW);
+        router.on_peer_load(&NodeId::new("other"), PeerLoadSlice::ALL, &[(handle, work)], NOW);
         let bound = Some(Duration::from_millis(1));
         assert!(matches!(route(&router, 4_000_000, bound), PoolRoute::Whole(_)));
     }
--- a/crates/core/tests/pool_router.rs
+++ b/crates/core/tests/pool_router.rs
@@ -9,8 +9,8 @@
 use shelfjunction_core::forwarding::PoolId;
 use shelfjunction_core::identity::{EngineId, NodeId, ZoneId};
 use shelfjunction_core::routing::pool::{
-    EngineStage, KvCacheSource, PeerWork, PoolEngine, PoolQuery, PoolRoute, PoolRouter, PoolWeights,
-    PrefixBlock, PromptPart, PromptShape, RequestTerms, WorkSlice, WorkingSetSettings,
+    EngineStage, KvCacheSource, PeerLoad, PoolEngine, PoolQuery, PoolRoute, PoolRouter, PoolWeights,
+    PrefixBlock, PromptPart, PromptShape, RequestConstraints, PeerLoadSlice, WorkingSetSettings,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -90,7 +90,7 @@
             zone: &self.zone,
             excluded: &self.excluded,
             last_resort: false,
-            terms: RequestTerms::default(),
+            constraints: RequestConstraints::default(),
             draw: 0,
             rank: 1,
             remaining: Duration::from_secs(5),
@@ -133,7 +133,7 @@
         "it holds the part itself"
     );
     let asked = asked.with_own_part(78);
-    let work = PeerWork {
+    let work = PeerLoad {
         prompt_tokens: [0, 200_000, 0, 0],
         requests: 10,
         memory_tokens: 0,
@@ -141,10 +141,10 @@
         outputs: 0,
         output_tokens: 0,
         streams: 0,
-        shortest_bound_millis: 0,
+        min_event_gap_limit_millis: 0,
     };
     let handle = router.engine(&home).unwrap().handle;
-    router.on_peer_load(&NodeId::new("other"), WorkSlice::ALL, &[(handle, work)], later);
+    router.on_peer_load(&NodeId::new("other"), PeerLoadSlice::ALL, &[(handle, work)], later);
     let elsewhere = EngineId::new(split(router.choose(&asked.query(), later)).0);
     assert_ne!(elsewhere, home);
     let source = router.engine(&home).unwrap().engine.address;
@@ -152,7 +152,7 @@
         router.fetch_source(&elsewhere, &asked.query(), later),
         Some(source)
     );
-    router.on_peer_load(&NodeId::new("other"), WorkSlice::ALL, &[], later);
+    router.on_peer_load(&NodeId::new("other"), PeerLoadSlice::ALL, &[], later);
     let again = EngineId::new(split(router.choose(&asked.query(), later)).0);
     assert_eq!(
         router.engine(&again).unwrap().load(later).requests,
@@ -167,7 +167,7 @@
     let asked = Asked::new(1);
     let home = EngineId::new(split(router.choose(&asked.query(), NOW)).0);
     let handle = router.engine(&home).unwrap().handle;
-    let work = PeerWork {
+    let work = PeerLoad {
         prompt_tokens: [0, 0, 0, 500_000],
         requests: 10,
         memory_tokens: 0,
@@ -175,9 +175,9 @@
         outputs: 0,
         output_tokens: 0,
         streams: 0,
-        shortest_bound_millis: 0,
+        min_event_gap_limit_millis: 0,
     };
-    router.on_peer_load(&NodeId::new("other"), WorkSlice::ALL, &[(handle, work)], NOW);
+    router.on_peer_load(&NodeId::new("other"), PeerLoadSlice::ALL, &[(handle, work)], NOW);
     assert_eq!(split(router.choose(&asked.query(), NOW)).0, home.as_str());
 }
 
@@ -305,7 +305,7 @@
 fn a_word_about_some_engines_leaves_what_was_said_of_the_others() {
     let mut router = router(&split_pool());
     let node = NodeId::new("other");
-    let work = PeerWork {
+    let work = PeerLoad {
         prompt_tokens: [100, 0, 0, 0],
         requests: 2,
         memory_tokens: 50,
@@ -313,13 +313,13 @@
         outputs: 0,
         output_tokens: 0,
         streams: 0,
-        shortest_bound_millis: 0,
+        min_event_gap_limit_millis: 0,
     };
     let handles: Vec<_> = split_pool()
         .iter()
         .map(|engine| router.engine(&engine.id).unwrap().handle)
         .collect();
-    let slice = |index| WorkSlice { index, of: 2 };
+    let slice = |index| PeerLoadSlice { index, slice_count: 2 };
     let of_slice = |index| -> Vec<_> {
         let named = handles.iter().filter(|handle| slice(index).includes(**handle));
         named.map(|handle| (*handle, work)).collect()
@@ -337,7 +337,7 @@
             .count()
     };
     assert_eq!(busy(&router), handles.len());
-    router.on_peer_load(&node, WorkSlice::NOTHING, &[], NOW);
+    router.on_peer_load(&node, PeerLoadSlice::EMPTY, &[], NOW);
     assert_eq!(
         busy(&router),
         handles.len(),
@@ -345,7 +345,7 @@
     );
     router.on_peer_load(&node, slice(1), &[], NOW);
     assert_eq!(busy(&router), of_slice(0).len());
-    router.on_peer_load(&node, WorkSlice::ALL, &[], NOW);
+    router.on_peer_load(&node, PeerLoadSlice::ALL, &[], NOW);
     assert_eq!(busy(&router), 0);
 }
 
@@ -504,7 +504,7 @@
     router.on_engine_listed(spot("a1", "zone-a", true));
     router.on_engine_listed(spot("a2", "zone-a", true));
     assert!(router.update_reclaimed_zones(NOW));
-    assert_eq!(router.taking_work(NOW), 1, "the one of the other zone");
+    assert_eq!(router.engines_taking_work(NOW), 1, "the one of the other zone");
     let later = NOW + Duration::from_secs(4);
-    assert_eq!(router.taking_work(later), 4, "those that stay after all");
+    assert_eq!(router.engines_taking_work(later), 4, "those that stay after all");
 }
--- a/crates/core/tests/rate_limit_choice.rs
+++ b/crates/core/tests/rate_limit_choice.rs
@@ -10,7 +10,7 @@
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::rate_limit::{LimitChange, LimitNotice, RateLimit, ResponseLimit};
 use shelfjunction_core::routing::pool::{
-    EngineStage, KvCacheSource, PoolEngine, PoolQuery, PoolRoute, PoolRouter, PoolWeights, RequestTerms,
+    EngineStage, KvCacheSource, PoolEngine, PoolQuery, PoolRoute, PoolRouter, PoolWeights, RequestConstraints,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -45,7 +45,7 @@
             zone: &self.zone,
             excluded: &[],
             last_resort: false,
-            terms: RequestTerms::default(),
+            constraints: RequestConstraints::default(),
             rank: 1,
             remaining: Duration::from_secs(3),
             slot_max_wait: Duration::from_millis(max_wait),
--- a/crates/core/tests/sharing_charges.rs
+++ b/crates/core/tests/sharing_charges.rs
@@ -14,7 +14,7 @@
     RequestSummary,
 };
 use shelfjunction_core::routing::pool::{
-    PoolAdmission, PromptPart, PromptShape, RequestTerms, RequestTiming,
+    PoolAdmission, PromptPart, PromptShape, RequestConstraints, RequestTiming,
 };
 use shelfjunction_core::sharing::UseWord;
 use shelfjunction_core::time::MonotonicTime;
@@ -44,9 +44,9 @@
                 output_estimate: None,
             },
             zone: ZoneId::new("zone-a"),
-            terms: RequestTerms {
+            constraints: RequestConstraints {
                 tenant: Some(tenant()),
-                ..RequestTerms::default()
+                ..RequestConstraints::default()
             },
             rank: 1,
             remaining: Duration::from_secs(4),
@@ -176,7 +176,7 @@
 fn without_tenants_nothing_is_charged_or_told() {
     let mut placer = Placer::new(1, 2);
     let mut asked = admission(1);
-    asked.request.terms.tenant = None;
+    asked.request.constraints.tenant = None;
     ask(&mut placer, &asked, NOW);
     let sharing = PoolAdmission::default().sharing;
     assert!(placer.router.sharing_mut().own_word(&sharing, NOW).is_empty());
--- a/crates/core/tests/sharing_placers.rs
+++ b/crates/core/tests/sharing_placers.rs
@@ -11,8 +11,8 @@
 use shelfjunction_core::identity::{EngineId, NodeId, ZoneId};
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::routing::pool::{
-    Admission, PeerWork, PoolAdmission, PoolQuery, PoolRouter, PromptPart, PromptShape, RequestTerms,
-    RequestTiming, WorkSlice,
+    Admission, PeerLoad, PoolAdmission, PoolQuery, PoolRouter, PromptPart, PromptShape, RequestConstraints,
+    RequestTiming, PeerLoadSlice,
 };
 use shelfjunction_core::sharing::{SharingSettings, TenantRequest};
 use shelfjunction_core::time::MonotonicTime;
@@ -317,10 +317,10 @@
 fn contended(settings: &PoolAdmission) -> PoolRouter {
     let mut router = sharing_world::router(1);
     let engine = router.handle_of(&EngineId::new("p0"));
-    let mut work = PeerWork::default();
+    let mut work = PeerLoad::default();
     work.prompt_tokens[0] = 15_000;
     let now = MonotonicTime::from_millis(1_000);
-    router.on_peer_load(&NodeId::new("other"), WorkSlice::ALL, &[(engine, work)], now);
+    router.on_peer_load(&NodeId::new("other"), PeerLoadSlice::ALL, &[(engine, work)], now);
     for (tenant, tokens, is_admitted) in [("large", 1e5, true), ("small", 1e4, true), ("small", 1e6, false)] {
         let request = TenantRequest {
             tenant: SubjectHandle::of_text("tenant", tenant),
@@ -355,9 +355,9 @@
         zone: &ZoneId::new("zone-a"),
         excluded: &[],
         last_resort: false,
-        terms: RequestTerms {
+        constraints: RequestConstraints {
             tenant: Some(SubjectHandle::of_text("tenant", tenant)),
-            ..RequestTerms::default()
+            ..RequestConstraints::default()
         },
         rank: 0,
         remaining: Duration::from_secs(4),
--- a/crates/core/tests/sharing_world/mod.rs
+++ b/crates/core/tests/sharing_world/mod.rs
@@ -10,8 +10,8 @@
     RequestSummary,
 };
 use shelfjunction_core::routing::pool::{
-    Admission, EngineStage, PoolAdmission, PoolRouter, PoolWeights, PromptPart, PromptShape, RequestTerms,
-    RequestTiming, WorkSlice, rank_of,
+    Admission, EngineStage, PoolAdmission, PoolRouter, PoolWeights, PromptPart, PromptShape, RequestConstraints,
+    RequestTiming, PeerLoadSlice, rank_for_priority,
 };
 use shelfjunction_core::sharing::UseWord;
 use shelfjunction_core::time::MonotonicTime;
@@ -242,12 +242,12 @@
                     output_estimate: Some(20),
                 },
                 zone: ZoneId::new("zone-a"),
-                terms: RequestTerms {
+                constraints: RequestConstraints {
                     tenant: Some(SubjectHandle::of_text("tenant", &sort.tenant.to_string())),
                     kind_rank: sort.priority,
-                    ..RequestTerms::default()
+                    ..RequestConstraints::default()
                 },
-                rank: rank_of(sort.order) as u8,
+                rank: rank_for_priority(sort.order) as u8,
                 remaining,
             },
             kind: PlacementKind::Admission(RequestTiming {
@@ -371,7 +371,7 @@
             for hearer in 0..self.placers.len() {
                 if hearer != sender && !self.placers[sender].dead {
                     let router = &mut self.placers[hearer].router;
-                    router.on_peer_load(&name, WorkSlice::ALL, &works, now);
+                    router.on_peer_load(&name, PeerLoadSlice::ALL, &works, now);
                 }
             }
         }
--- a/crates/core/tests/working_set.rs
+++ b/crates/core/tests/working_set.rs
@@ -6,9 +6,9 @@
 use shelfjunction_core::identity::{EngineId, ZoneId};
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::routing::pool::{
-    Admission, EngineStage, KvCacheSource, PeerWork, PoolAdmission, PoolEngine, PoolQuery, PoolRoute,
-    PoolRouter, PoolTicket, PoolWeights, PrefixBlock, PromptPart, PromptShape, RequestTerms, RequestTiming,
-    WorkSlice,
+    Admission, EngineStage, KvCacheSource, PeerLoad, PoolAdmission, PoolEngine, PoolQuery, PoolRoute,
+    PoolRouter, PoolTicket, PoolWeights, PrefixBlock, PromptPart, PromptShape, RequestConstraints, RequestTiming,
+    PeerLoadSlice,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::collections::BTreeSet;
@@ -90,7 +90,7 @@
             zone: &self.zone,
             excluded: &[],
             last_resort: false,
-            terms: RequestTerms::default(),
+            constraints: RequestConstraints::default(),
             rank: 0,
             remaining: Duration::from_secs(5),
             slot_max_wait: Duration::ZERO,
@@ -224,12 +224,12 @@
     let mut router = fleet(3_000);
     let reserved = router.reserve().next().unwrap().id.clone();
     let handle = SubjectHandle::of_engine(&reserved);
-    let work = PeerWork {
+    let work = PeerLoad {
         requests: 1,
-        ..PeerWork::default()
+        ..PeerLoad::default()
     };
     let peer = shelfjunction_core::identity::NodeId::new("peer");
-    router.on_peer_load(&peer, WorkSlice::ALL, &[(handle, work)], at(10));
+    router.on_peer_load(&peer, PeerLoadSlice::ALL, &[(handle, work)], at(10));
     assert!(router.engine(&reserved).is_some());
 }
 
--- a/crates/lab/src/fleet/traffic.rs
+++ b/crates/lab/src/fleet/traffic.rs
@@ -5,7 +5,7 @@
 use shelfjunction_core::identity::ZoneId;
 use shelfjunction_core::routing::pool::{
     Admission, KvCacheSource, PoolAdmission, PoolQuery, PoolRoute, PoolRouter, PoolTicket, PoolWeights,
-    PromptPart, PromptShape, RequestTerms, RequestTiming,
+    PromptPart, PromptShape, RequestConstraints, RequestTiming,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::collections::BTreeMap;
@@ -103,7 +103,7 @@
             zone: &zone,
             excluded: &[],
             last_resort: false,
-            terms: RequestTerms::default(),
+            constraints: RequestConstraints::default(),
             rank: 0,
             remaining: Duration::from_secs(6),
             slot_max_wait: Duration::ZERO,
@@ -123,7 +123,7 @@
         let ends_at = |seconds: f64| (micros + (seconds * 1e6) as u64, number);
         match decision.route {
             PoolRoute::Split { prefill, .. } => {
-                let delay = router.reading_delay(&prefill.id, &query, now).unwrap_or_default();
+                let delay = router.prefill_delay(&prefill.id, &query, now).unwrap_or_default();
                 let ticket = router.on_prompt_sent(&prefill.id, &query, now);
                 endings.insert(ends_at(delay.as_secs_f64()), Ending::Read(ticket, prompt));
             }
--- a/crates/node/src/course/accounting.rs
+++ b/crates/node/src/course/accounting.rs
@@ -134,7 +134,7 @@
             Account::Own(ticket) => {
                 let mut router = lock(&self.context.router);
                 if let Some(reported_load) = reported_load {
-                    router.on_told(ticket.engine(), reported_load, now);
+                    router.on_reported_load(ticket.engine(), reported_load, now);
                 }
                 router.on_refused(ticket, reason, now);
             }
--- a/crates/node/src/course/admitting.rs
+++ b/crates/node/src/course/admitting.rs
@@ -11,7 +11,7 @@
 };
 use shelfjunction_core::request::event::Event;
 use shelfjunction_core::routing::pool::{
-    Admission, AdmissionDecision, LATE_RANK, RequestTerms, RequestTiming, rank_of,
+    Admission, AdmissionDecision, LATE_RANK, RequestConstraints, RequestTiming, rank_for_priority,
 };
 use shelfjunction_core::sharing::Standing;
 use shelfjunction_core::time::MonotonicTime;
@@ -97,9 +97,9 @@
     }
 
     /// What the request is owed beside its answer.
-    pub(super) fn terms(&self) -> RequestTerms {
+    pub(super) fn constraints(&self) -> RequestConstraints {
         let tenant = self.access.tenant.as_ref();
-        RequestTerms {
+        RequestConstraints {
             tenant: tenant.map(|tenant| SubjectHandle::of_text("tenant", tenant.as_str())),
             max_event_gap: self.route.event_gap,
             single_try: self.route.repeat == RepeatRule::Never || self.route.maximum_runs <= 1,
@@ -112,7 +112,7 @@
         if self.late {
             LATE_RANK
         } else {
-            rank_of(self.access.priority)
+            rank_for_priority(self.access.priority)
         }
     }
 
--- a/crates/node/src/course/dispatching.rs
+++ b/crates/node/src/course/dispatching.rs
@@ -11,7 +11,7 @@
 use shelfjunction_core::placing::question::ChosenEngine;
 use shelfjunction_core::request::event::Event;
 use shelfjunction_core::request::specification::Target;
-use shelfjunction_core::routing::pool::{EngineBeliefs, EngineStage, Explanation, KvCacheSource};
+use shelfjunction_core::routing::pool::{EngineEstimate, EngineStage, Explanation, KvCacheSource};
 use shelfjunction_core::time::MonotonicTime;
 use shelfjunction_threads::lock;
 use std::io::ErrorKind;
@@ -135,13 +135,13 @@
             cost_millis = millis(why.cost),
             runner_up = why.runner_up.as_ref().map_or("none", |(engine, _)| engine.as_str()),
             runner_up_cost_millis = why.runner_up.as_ref().map_or(0, |(_, cost)| millis(*cost)),
-            prompt_tokens_ahead = why.beliefs.prompt_tokens_ahead,
-            requests_there = why.beliefs.requests,
-            held_tokens = why.beliefs.held_tokens,
+            prompt_tokens_ahead = why.estimate.prompt_tokens_ahead,
+            requests_there = why.estimate.requests,
+            held_tokens = why.estimate.held_tokens,
             fetch_from:? = fetch_from,
-            word_age_millis = why.beliefs.oldest_report_age.as_millis() as u64,
-            work_factor_percent = why.beliefs.work_factor_percent,
-            figure_age_millis:? = why.beliefs.figure_age.map(|age| age.as_millis() as u64);
+            word_age_millis = why.estimate.oldest_report_age.as_millis() as u64,
+            work_factor_percent = why.estimate.work_factor_percent,
+            figure_age_millis:? = why.estimate.reported_pace_age.map(|age| age.as_millis() as u64);
             "dispatched"
         );
     }
@@ -160,7 +160,7 @@
         let mut router = lock(&self.context.router);
         match purpose {
             Purpose::Prompt => {
-                let expected = router.reading_delay(engine, &query, now).unwrap_or_default();
+                let expected = router.prefill_delay(engine, &query, now).unwrap_or_default();
                 let max_wait = max_wait::prompt(self.route, expected);
                 let ticket = router.on_prompt_sent(engine, &query, now);
                 (Account::Own(ticket), Some(max_wait))
@@ -219,13 +219,13 @@
     Explanation {
         cost: 0.0,
         runner_up: None,
-        beliefs: EngineBeliefs {
+        estimate: EngineEstimate {
             prompt_tokens_ahead: chosen.prompt_tokens_ahead,
             requests: chosen.requests,
             held_tokens: chosen.held_tokens,
             oldest_report_age: chosen.oldest_report_age,
             work_factor_percent: chosen.work_factor_percent,
-            figure_age: chosen.figure_age,
+            reported_pace_age: chosen.reported_pace_age,
         },
     }
 }
--- a/crates/node/src/course/driver.rs
+++ b/crates/node/src/course/driver.rs
@@ -257,7 +257,7 @@
             zone: &self.context.config.zone,
             excluded,
             last_resort: false,
-            terms: self.terms(),
+            constraints: self.constraints(),
             draw: self.draw,
             rank: self.rank(),
             remaining: routing::left(self.deadline, now),
--- a/crates/node/src/course/placing.rs
+++ b/crates/node/src/course/placing.rs
@@ -79,7 +79,7 @@
                 pool: self.pool.clone(),
                 prompt: prompt.clone(),
                 zone: self.context.config.zone.clone(),
-                terms: self.terms(),
+                constraints: self.constraints(),
                 rank: self.rank() as u8,
                 remaining: routing::left(self.deadline, now),
             },
@@ -166,7 +166,7 @@
     /// The engine that a placer named, unless this node knows that it is leaving or does not know it.
     fn resolved(&self, engine: SubjectHandle, at: &PlacedAt) -> Option<PoolEngine> {
         let mut known = self.listed(engine);
-        let is_known = lock(&self.context.router).engine_named(engine).is_some();
+        let is_known = lock(&self.context.router).engine_by_handle(engine).is_some();
         // A node off duty knows the engines that were in use when it last asked. One that it knows to leave it need not ask for.
         if known.is_none() && !is_known && self.context.peers.duty(self.context.now()) == Duty::Off {
             peers::take_engines_in_use(self.context, at.address);
--- a/crates/node/src/course/reading.rs
+++ b/crates/node/src/course/reading.rs
@@ -79,7 +79,7 @@
     fn opened(&mut self, head: AnswerHead, now: MonotonicTime) -> Option<Event> {
         let exchange = self.exchange.as_mut()?;
         if let Some(told) = head.told {
-            lock(&self.context.router).on_told(&exchange.engine, told, now);
+            lock(&self.context.router).on_reported_load(&exchange.engine, told, now);
         }
         exchange.head = Some(head);
         Some(Event::Opened {
@@ -173,7 +173,7 @@
     ) -> Option<Event> {
         let exchange = self.exchange.take()?;
         if let Some(told) = told {
-            lock(&self.context.router).on_told(&exchange.engine, told, now);
+            lock(&self.context.router).on_reported_load(&exchange.engine, told, now);
         }
         self.prompt_told = told;
         self.prompt_is_read = true;
--- a/crates/node/src/engine_signals/mod.rs
+++ b/crates/node/src/engine_signals/mod.rs
@@ -78,7 +78,7 @@
 fn on_draining(context: &Context, engine: SubjectHandle, source: &'static str) -> bool {
     let (is_new, known) = {
         let mut router = lock(&context.router);
-        (router.on_draining(engine), router.engine_named(engine))
+        (router.on_draining(engine), router.engine_by_handle(engine))
     };
     if !is_new {
         return false;
--- a/crates/node/src/peers/limit_speakers.rs
+++ b/crates/node/src/peers/limit_speakers.rs
@@ -4,7 +4,7 @@
 use shelfjunction_core::identity::NodeId;
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::rate_limit::slot_owner::limit_share;
-use shelfjunction_core::routing::pool::WorkSlice;
+use shelfjunction_core::routing::pool::PeerLoadSlice;
 use shelfjunction_core::time::MonotonicTime;
 use shelfjunction_threads::lock;
 use std::time::Duration;
@@ -20,8 +20,8 @@
 
 impl LimitSpeaker {
     /// Takes what a word of its work says.
-    pub(super) fn hear_slice(&mut self, start: u64, slice: WorkSlice) {
-        if slice.speaks_of_limits() {
+    pub(super) fn hear_slice(&mut self, start: u64, slice: PeerLoadSlice) {
+        if slice.reports_rate_limits() {
             self.hear(start, self.leaves && self.start == Some(start));
         }
     }
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -69,7 +69,7 @@
     /// Whether it held itself for a placer when it spoke last.
     places: bool,
     /// Whether far placers may tell it seldom.
-    takes_sparse_words: bool,
+    accepts_sparse_reports: bool,
     /// What it said of rate limits.
     limits: LimitSpeaker,
     /// Thousandths of a processor core that it may use.
@@ -93,7 +93,7 @@
             store_answers: false,
             holds_lease: false,
             places: false,
-            takes_sparse_words: false,
+            accepts_sparse_reports: false,
             limits: LimitSpeaker::default(),
             processor_thousandths: 0,
             told_nodes: 0,
--- a/crates/node/src/peers/placers.rs
+++ b/crates/node/src/peers/placers.rs
@@ -116,7 +116,7 @@
         candidates.push(self.own);
         let line = PlacerSet::with_standbys(&candidates, self.placing.placers);
         let often = known.peers.values().filter(|peer| {
-            !peer.takes_sparse_words
+            !peer.accepts_sparse_reports
                 || line.includes(peer.handle)
                 || placers.is_primary_contact(self.own.node, peer.handle)
         });
--- a/crates/node/src/peers/receiving.rs
+++ b/crates/node/src/peers/receiving.rs
@@ -96,8 +96,8 @@
         peer.holds_lease = message.holds_lease;
         peer.places = message.places;
         peer.limits.hear_slice(message.start, message.slice);
-        peer.takes_sparse_words = message.slice.takes_sparse_words()
-            || (peer.takes_sparse_words && peer.last_message.is_some_and(|last| last.0 == message.start));
+        peer.accepts_sparse_reports = message.slice.accepts_sparse_reports()
+            || (peer.accepts_sparse_reports && peer.last_message.is_some_and(|last| last.0 == message.start));
         peer.last_message = Some(position);
         peer.told_nodes = message.nodes;
         peer.cordons = message.cordons;
--- a/crates/node/src/peers/sending.rs
+++ b/crates/node/src/peers/sending.rs
@@ -9,7 +9,7 @@
 use crate::quarantine;
 use crate::rate_limits;
 use shelfjunction_core::membership::subject::SubjectHandle;
-use shelfjunction_core::routing::pool::{PaceReports, PeerWork, WorkSlice};
+use shelfjunction_core::routing::pool::{PaceReports, PeerLoad, PeerLoadSlice};
 use shelfjunction_core::time::MonotonicTime;
 use shelfjunction_protocol::node_words::{
     Datagram, MOST_CHANGES, MOST_CHANGES_ALONE, MOST_ENGINES, MOST_FIGURES, MOST_LASTING, MOST_NEWS,
@@ -125,7 +125,7 @@
     told_versions: (u64, u64),
     /// Rounds in which a placer told others that it lives.
     rounds_to_all: u32,
-    told_slices: BTreeMap<WorkSlice, (Vec<(SubjectHandle, PeerWork)>, MonotonicTime)>,
+    told_slices: BTreeMap<PeerLoadSlice, (Vec<(SubjectHandle, PeerLoad)>, MonotonicTime)>,
     lasting_told_at: Option<MonotonicTime>,
 }
 
@@ -180,7 +180,7 @@
         let slices = work.len().div_ceil(ENGINES_PER_SLICE).max(1) as u16;
         let mut sent = 0;
         for index in 0..slices {
-            let slice = WorkSlice { index, of: slices };
+            let slice = PeerLoadSlice { index, slice_count: slices };
             let works: Vec<_> = work
                 .iter()
                 .copied()
@@ -204,7 +204,7 @@
                 sent += peers.len();
             }
         }
-        self.told_slices.retain(|slice, _| slice.of == slices);
+        self.told_slices.retain(|slice, _| slice.slice_count == slices);
         self.allowance.spend(sent.max(peers.len()), now)
     }
 
@@ -222,7 +222,7 @@
     }
 
     /// Whether a slice has changed, or was last told a while ago.
-    fn is_due(&self, slice: WorkSlice, works: &[(SubjectHandle, PeerWork)], now: MonotonicTime) -> bool {
+    fn is_due(&self, slice: PeerLoadSlice, works: &[(SubjectHandle, PeerLoad)], now: MonotonicTime) -> bool {
         self.told_slices
             .get(&slice)
             .is_none_or(|(told, at)| told != works || now.since(*at) >= SLICE_AGAIN)
@@ -251,7 +251,7 @@
         self.told_all_at = Some(now);
         self.told_versions = versions;
         self.rounds_to_all += 1;
-        let message = self.compose(WorkSlice::NOTHING, true, now);
+        let message = self.compose(PeerLoadSlice::EMPTY, true, now);
         let peers = if is_news || self.rounds_to_all.is_multiple_of(FAR_ROUNDS) {
             self.context.peers.addresses(now)
         } else {
@@ -275,17 +275,17 @@
             return LEAST_PAUSE;
         }
         self.told_all_at = Some(now);
-        let message = self.compose(WorkSlice::NOTHING, false, now);
+        let message = self.compose(PeerLoadSlice::EMPTY, false, now);
         let peers = self.context.peers.told(now);
         self.send(&peers, message);
         self.allowance.spend(peers.len(), now)
     }
 
-    fn compose(&self, slice: WorkSlice, places: bool, now: MonotonicTime) -> WorkMessage {
+    fn compose(&self, slice: PeerLoadSlice, places: bool, now: MonotonicTime) -> WorkMessage {
         let context = self.context;
         let config_version = || context.forwarding().map_or(0, |config| config.version);
         let list_version = || lock(&context.listing).last_change_version();
-        let most_changes = if slice.is_nothing() {
+        let most_changes = if slice.is_empty() {
             MOST_CHANGES_ALONE
         } else {
             MOST_CHANGES
--- a/crates/node/src/placing/answering.rs
+++ b/crates/node/src/placing/answering.rs
@@ -103,7 +103,7 @@
     let now = context.now();
     let answers = {
         let router = lock(&context.router);
-        let engine = router.engine_named(question.engine);
+        let engine = router.engine_by_handle(question.engine);
         engine
             .and_then(|engine| router.engine(&engine).map(|state| state.answered_recently(now)))
             .unwrap_or(false)
--- a/crates/node/src/rate_limits/asking.rs
+++ b/crates/node/src/rate_limits/asking.rs
@@ -187,7 +187,7 @@
 /// question has it; the age of its end where there is none any more.
 fn believed(context: &Context, asked: LimitNotice, now: MonotonicTime) -> Result<RateLimit, u32> {
     let router = lock(&context.router);
-    let state = router.engine_named(asked.engine);
+    let state = router.engine_by_handle(asked.engine);
     let state = state.as_ref().and_then(|engine| router.engine(engine));
     let notice = state.and_then(|state: &EngineState| state.limit_notice(now));
     let notice = notice.unwrap_or(asked);
--- a/crates/protocol/src/node_snapshot.rs
+++ b/crates/protocol/src/node_snapshot.rs
@@ -17,7 +17,7 @@
 use serde::{Deserialize, Serialize};
 use shelfjunction_core::cordon::CordonSet;
 use shelfjunction_core::forwarding::ForwardingConfig;
-use shelfjunction_core::routing::pool::{KnownChanges, ListSnapshot, PrefixNews};
+use shelfjunction_core::routing::pool::{KnownChanges, ListSnapshot, PrefixUpdate};
 use std::fmt;
 
 const CODEC: Configuration = standard();
@@ -112,7 +112,7 @@
     /// The operators' cordons.
     pub cordons: Option<CordonSet>,
     /// What engines are believed to hold.
-    pub held: Vec<PrefixNews>,
+    pub held: Vec<PrefixUpdate>,
 }
 
 /// Why an answer can't be read.
@@ -139,7 +139,7 @@
     config: Option<ForwardingConfig>,
     list: Option<ListSnapshot>,
     cordons: Option<CordonSet>,
-    held: Vec<PrefixNews>,
+    held: Vec<PrefixUpdate>,
 }
 
 impl Snapshot {
--- a/crates/protocol/src/node_words.rs
+++ b/crates/protocol/src/node_words.rs
@@ -14,7 +14,7 @@
 use shelfjunction_core::quarantine::word::{SuspectWord, TrialWord};
 use shelfjunction_core::retry::census::SharingWord;
 use shelfjunction_core::routing::pool::{
-    EngineStage, ListUpdate, PaceReports, PeerWork, PrefixNews, SilenceWord, WorkSlice,
+    EngineStage, ListUpdate, PaceReports, PeerLoad, PrefixUpdate, SilenceReport, PeerLoadSlice,
 };
 use shelfjunction_core::sharing::UseWord;
 use shelfjunction_core::watching::TableWord;
@@ -81,17 +81,17 @@
     /// Changes of that list that the store has just told the sender.
     pub list_news: ListUpdate,
     /// Engines that `work` is about.
-    pub slice: WorkSlice,
+    pub slice: PeerLoadSlice,
     /// Work at engines; none where an engine of the slice is not named.
-    pub work: Vec<(SubjectHandle, PeerWork)>,
+    pub work: Vec<(SubjectHandle, PeerLoad)>,
     /// Prompt tokens that the sender's requests had to have read in a second.
     pub prompt_tokens_per_second: u32,
     /// Engines that have been ordered to change their stage.
     pub orders: Vec<(SubjectHandle, EngineStage)>,
     /// Shared prefixes that engines have come to hold since the last message.
-    pub news: Vec<PrefixNews>,
+    pub news: Vec<PrefixUpdate>,
     /// Engines that fell silent towards nodes that the sender chooses for, since the last message.
-    pub silences: Vec<SilenceWord>,
+    pub silences: Vec<SilenceReport>,
     /// Paces of engines.
     pub paces: PaceReports,
 }
--- a/crates/protocol/tests/node_formats.rs
+++ b/crates/protocol/tests/node_formats.rs
@@ -9,8 +9,8 @@
 use shelfjunction_core::identity::{EngineId, EngineStart, NodeId, ZoneId};
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::routing::pool::{
-    EngineStage, KnownChanges, ListChange, ListSnapshot, ListUpdate, PeerWork, PoolEngine, PrefixBlock,
-    PrefixNews, WorkSlice,
+    EngineStage, KnownChanges, ListChange, ListSnapshot, ListUpdate, PeerLoad, PoolEngine, PrefixBlock,
+    PrefixUpdate, PeerLoadSlice,
 };
 use shelfjunction_protocol::node_snapshot::{Snapshot, SnapshotError, Wanted};
 use shelfjunction_protocol::node_words::Datagram;
@@ -51,7 +51,7 @@
         list_is_partial: false,
         list_changes: None,
         cordons: Some(CordonSet::default()),
-        held: vec![PrefixNews {
+        held: vec![PrefixUpdate {
             engine: SubjectHandle::of_engine(&engine().id),
             prefixes: vec![PrefixBlock {
                 hash: 9,
@@ -96,9 +96,9 @@
         message.work,
         [(
             SubjectHandle::of_engine(&engine().id),
-            PeerWork {
+            PeerLoad {
                 requests: 3,
-                ..PeerWork::default()
+                ..PeerLoad::default()
             }
         )]
     );
@@ -110,7 +110,7 @@
         }
     );
     assert!(
-        !message.slice.takes_sparse_words(),
+        !message.slice.accepts_sparse_reports(),
         "the first build wants every word"
     );
     assert_eq!(hex(&word.encode().unwrap()), WORD);
@@ -118,10 +118,10 @@
 
 #[test]
 fn the_first_build_reads_a_slice_of_nothing_as_such() {
-    assert!(!WorkSlice::NOTHING.includes(SubjectHandle::of_number(1 << 40)));
-    assert!(WorkSlice::NOTHING.takes_sparse_words() && WorkSlice::NOTHING.is_nothing());
-    assert!(!WorkSlice { index: 0, of: 0 }.takes_sparse_words());
-    assert!(!WorkSlice { index: 1, of: 2 }.takes_sparse_words());
+    assert!(!PeerLoadSlice::EMPTY.includes(SubjectHandle::of_number(1 << 40)));
+    assert!(PeerLoadSlice::EMPTY.accepts_sparse_reports() && PeerLoadSlice::EMPTY.is_empty());
+    assert!(!PeerLoadSlice { index: 0, slice_count: 0 }.accepts_sparse_reports());
+    assert!(!PeerLoadSlice { index: 1, slice_count: 2 }.accepts_sparse_reports());
 }
 
 #[test]
