--- a/crates/core/src/routing/pool/choice.rs
+++ b/crates/core/src/routing/pool/choice.rs
@@ -187,7 +187,8 @@
     ) -> Option<Duration> {
         let context = self.context(query, now);
         let state = self.engines.get(engine)?;
-        let tokens = state.load(now).prompt_tokens_ahead(query.rank) + context.prefill_work(state, query).computed;
+        let tokens =
+            state.load(now).prompt_tokens_ahead(query.rank) + context.prefill_work(state, query).computed;
         let seconds = state.prefill_seconds(&context.speeds.prefill, tokens, now);
         Some(Duration::from_secs_f64(seconds))
     }
--- a/crates/core/src/routing/pool/dispatches.rs
+++ b/crates/core/src/routing/pool/dispatches.rs
@@ -1,10 +1,10 @@
 //! The fate of what was sent: work under kv_source, speeds, health and what engines come to hold.
 
 use super::admission::LATE_RANK;
-use super::peer_reports::PrefixUpdate;
 use super::cost::{PrefillWork, shared_prefixes};
 use super::engine::{EngineState, InFlightWork};
 use super::pace::{ObservedWork, PaceObservation};
+use super::peer_reports::PrefixUpdate;
 use super::pool_speeds::PoolSpeeds;
 use super::prefill_speed::PrefillSpeed;
 use super::query::{PoolQuery, PrefixBlock, PromptShape};
--- a/crates/core/src/routing/pool/engine.rs
+++ b/crates/core/src/routing/pool/engine.rs
@@ -1,10 +1,10 @@
 //! What is known of one engine of a pool.
 
-use super::peer_reports::{PeerLoad, RANK_COUNT};
 use super::cordons::EngineCordon;
 use super::dispatches::KvCacheSource;
 use super::pace::EnginePace;
 use super::pauses::RecentPrefill;
+use super::peer_reports::{PeerLoad, RANK_COUNT};
 use super::prefill_speed::PrefillSpeed;
 use super::prefix_cache::PrefixCacheEstimate;
 use super::risk::FailureRate;
--- a/crates/core/src/routing/pool/peer_reports.rs
+++ b/crates/core/src/routing/pool/peer_reports.rs
@@ -54,7 +54,10 @@
 
 impl PeerLoadSlice {
     /// All engines.
-    pub const ALL: Self = Self { index: 0, slice_count: 1 };
+    pub const ALL: Self = Self {
+        index: 0,
+        slice_count: 1,
+    };
 
     /// No engine. The number of the part, which means nothing here, says that the sender takes sparse words from far
     /// placers, and speaks of rate limits: builds that don't know it pass it over.
--- a/crates/core/src/routing/pool/peers.rs
+++ b/crates/core/src/routing/pool/peers.rs
@@ -1,7 +1,7 @@
 //! What nodes tell each other: their work, demand, orders, and what engines hold.
 
-use super::peer_reports::{PeerLoad, PrefixUpdate, PeerLoadSlice};
 use super::engine::EngineStage;
+use super::peer_reports::{PeerLoad, PeerLoadSlice, PrefixUpdate};
 use super::query::PrefixBlock;
 use super::router::PoolRouter;
 use crate::forwarding::PoolId;
--- a/crates/core/src/routing/pool/unresponsive_engines.rs
+++ b/crates/core/src/routing/pool/unresponsive_engines.rs
@@ -3,9 +3,9 @@
 //! One placer of a large fleet sees an eighth of the requests. Until each had learned of every silent engine and path by
 //! itself, eight times as many requests waited for them.
 
-use super::peer_reports::SilenceReport;
 use super::dispatches::PoolTicket;
 use super::paths::PathChange;
+use super::peer_reports::SilenceReport;
 use super::router::PoolRouter;
 use crate::identity::{EngineId, ZoneId};
 use crate::membership::subject::SubjectHandle;
@@ -67,7 +67,12 @@
 
     /// Takes another placer's word of engines that fell silent. What nobody has heard since the request was sent is left
     /// alone for a moment where `leaves_alone`, unless the path to it is what is suspected.
-    pub fn on_peer_silence_reports(&mut self, words: &[SilenceReport], leaves_alone: bool, now: MonotonicTime) {
+    pub fn on_peer_silence_reports(
+        &mut self,
+        words: &[SilenceReport],
+        leaves_alone: bool,
+        now: MonotonicTime,
+    ) {
         for word in words {
             let sent_before = Duration::from_millis(word.sent_before_millis.into());
             let sent_at = now.earlier(sent_before).unwrap_or_default();
--- a/crates/core/tests/cordons.rs
+++ b/crates/core/tests/cordons.rs
@@ -12,7 +12,8 @@
 use shelfjunction_core::identity::ZoneId;
 use shelfjunction_core::metering::UnixTime;
 use shelfjunction_core::routing::pool::{
-    ActiveCordon, AvoidanceReason, EngineStage, PoolQuery, PoolRoute, PoolRouter, PoolWeights, RequestConstraints,
+    ActiveCordon, AvoidanceReason, EngineStage, PoolQuery, PoolRoute, PoolRouter, PoolWeights,
+    RequestConstraints,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
--- a/crates/core/tests/engine_starts.rs
+++ b/crates/core/tests/engine_starts.rs
@@ -18,8 +18,8 @@
 use shelfjunction_core::quarantine::{Asked, Fingerprint, Quarantine, Standing};
 use shelfjunction_core::routing::pool::{
     ActiveCordon, AvoidanceReason, EngineListing, EngineStage, EngineState, ListChange, PeerLoad,
-    PoolAdmission, PoolEngine, PoolRouter, PoolWeights, PrefixUpdate, PromptPart, PromptShape, ReportedLoad,
-    RequestConstraints, PeerLoadSlice,
+    PeerLoadSlice, PoolAdmission, PoolEngine, PoolRouter, PoolWeights, PrefixUpdate, PromptPart, PromptShape,
+    ReportedLoad, RequestConstraints,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
--- a/crates/core/tests/pace_world/mod.rs
+++ b/crates/core/tests/pace_world/mod.rs
@@ -8,8 +8,8 @@
 use engines::{Rng, SimulatedEngine};
 use shelfjunction_core::identity::{EngineId, NodeId, ZoneId};
 use shelfjunction_core::routing::pool::{
-    EnginePaceUse, EngineStage, KvCacheSource, PoolQuery, PoolRoute, PoolRouter, PoolTicket, PoolWeights,
-    PrefixBlock, PromptPart, PromptShape, ReportedLoad, RequestConstraints, PeerLoadSlice,
+    EnginePaceUse, EngineStage, KvCacheSource, PeerLoadSlice, PoolQuery, PoolRoute, PoolRouter, PoolTicket,
+    PoolWeights, PrefixBlock, PromptPart, PromptShape, ReportedLoad, RequestConstraints,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::collections::BTreeMap;
--- a/crates/core/tests/path_world/mod.rs
+++ b/crates/core/tests/path_world/mod.rs
@@ -10,7 +10,8 @@
     DispatchProgress, Placement, PlacementKind, PlacementQuery, ProgressReport, RequestKey, RequestSummary,
 };
 use shelfjunction_core::routing::pool::{
-    EngineStage, PoolAdmission, PoolEngine, PoolRouter, PoolWeights, PromptPart, PromptShape, RequestConstraints,
+    EngineStage, PoolAdmission, PoolEngine, PoolRouter, PoolWeights, PromptPart, PromptShape,
+    RequestConstraints,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::cmp::Reverse;
--- a/crates/core/tests/pauses_world/mod.rs
+++ b/crates/core/tests/pauses_world/mod.rs
@@ -14,8 +14,8 @@
 use rand::{Rng, SeedableRng};
 use shelfjunction_core::identity::{EngineId, NodeId, ZoneId};
 use shelfjunction_core::routing::pool::{
-    EngineStage, KvCacheSource, PoolQuery, PoolRoute, PoolRouter, PromptPart, PromptShape, RequestConstraints,
-    PeerLoadSlice,
+    EngineStage, KvCacheSource, PeerLoadSlice, PoolQuery, PoolRoute, PoolRouter, PromptPart, PromptShape,
+    RequestConstraints,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::cmp::Reverse;
--- a/crates/core/tests/placing.rs
+++ b/crates/core/tests/placing.rs
@@ -17,8 +17,8 @@
     RequestSummary,
 };
 use shelfjunction_core::routing::pool::{
-    Admission, EngineStage, PoolAdmission, PoolRouter, PoolWeights, PromptPart, PromptShape, RequestConstraints,
-    RequestTiming,
+    Admission, EngineStage, PoolAdmission, PoolRouter, PoolWeights, PromptPart, PromptShape,
+    RequestConstraints, RequestTiming,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
--- a/crates/core/tests/pool_admission.rs
+++ b/crates/core/tests/pool_admission.rs
@@ -10,8 +10,8 @@
 use shelfjunction_core::identity::{EngineId, NodeId, ZoneId};
 use shelfjunction_core::routing::pool::{
     Admission, AdmissionDecision, EngineStage, EstimateError, KvCacheSource, LATE_RANK, PeerLoad,
-    PoolAdmission, PoolQuery, PoolRoute, PoolRouter, PoolSpeeds, PoolWeights, PrefillSpeed, PrefixBlock,
-    PromptPart, PromptShape, RejectionRate, RequestConstraints, RequestTiming, PeerLoadSlice,
+    PeerLoadSlice, PoolAdmission, PoolQuery, PoolRoute, PoolRouter, PoolSpeeds, PoolWeights, PrefillSpeed,
+    PrefixBlock, PromptPart, PromptShape, RejectionRate, RequestConstraints, RequestTiming,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
--- a/crates/core/tests/pool_pauses.rs
+++ b/crates/core/tests/pool_pauses.rs
@@ -12,8 +12,8 @@
     EventInterval, PauseForecast, RecentPrefill, late_probability,
 };
 use shelfjunction_core::routing::pool::{
-    EngineLoad, EngineStage, KvCacheSource, PeerLoad, PoolQuery, PoolRoute, PoolRouter, PoolWeights,
-    PrefillSpeed, PromptPart, PromptShape, RequestConstraints, PeerLoadSlice,
+    EngineLoad, EngineStage, KvCacheSource, PeerLoad, PeerLoadSlice, PoolQuery, PoolRoute, PoolRouter,
+    PoolWeights, PrefillSpeed, PromptPart, PromptShape, RequestConstraints,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
--- a/crates/core/tests/pool_router.rs
+++ b/crates/core/tests/pool_router.rs
@@ -9,8 +9,8 @@
 use shelfjunction_core::forwarding::PoolId;
 use shelfjunction_core::identity::{EngineId, NodeId, ZoneId};
 use shelfjunction_core::routing::pool::{
-    EngineStage, KvCacheSource, PeerLoad, PoolEngine, PoolQuery, PoolRoute, PoolRouter, PoolWeights,
-    PrefixBlock, PromptPart, PromptShape, RequestConstraints, PeerLoadSlice, WorkingSetSettings,
+    EngineStage, KvCacheSource, PeerLoad, PeerLoadSlice, PoolEngine, PoolQuery, PoolRoute, PoolRouter,
+    PoolWeights, PrefixBlock, PromptPart, PromptShape, RequestConstraints, WorkingSetSettings,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -144,7 +144,12 @@
         min_event_gap_limit_millis: 0,
     };
     let handle = router.engine(&home).unwrap().handle;
-    router.on_peer_load(&NodeId::new("other"), PeerLoadSlice::ALL, &[(handle, work)], later);
+    router.on_peer_load(
+        &NodeId::new("other"),
+        PeerLoadSlice::ALL,
+        &[(handle, work)],
+        later,
+    );
     let elsewhere = EngineId::new(split(router.choose(&asked.query(), later)).0);
     assert_ne!(elsewhere, home);
     let source = router.engine(&home).unwrap().engine.address;
@@ -319,7 +324,10 @@
         .iter()
         .map(|engine| router.engine(&engine.id).unwrap().handle)
         .collect();
-    let slice = |index| PeerLoadSlice { index, slice_count: 2 };
+    let slice = |index| PeerLoadSlice {
+        index,
+        slice_count: 2,
+    };
     let of_slice = |index| -> Vec<_> {
         let named = handles.iter().filter(|handle| slice(index).includes(**handle));
         named.map(|handle| (*handle, work)).collect()
--- a/crates/core/tests/sharing_placers.rs
+++ b/crates/core/tests/sharing_placers.rs
@@ -11,8 +11,8 @@
 use shelfjunction_core::identity::{EngineId, NodeId, ZoneId};
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::routing::pool::{
-    Admission, PeerLoad, PoolAdmission, PoolQuery, PoolRouter, PromptPart, PromptShape, RequestConstraints,
-    RequestTiming, PeerLoadSlice,
+    Admission, PeerLoad, PeerLoadSlice, PoolAdmission, PoolQuery, PoolRouter, PromptPart, PromptShape,
+    RequestConstraints, RequestTiming,
 };
 use shelfjunction_core::sharing::{SharingSettings, TenantRequest};
 use shelfjunction_core::time::MonotonicTime;
--- a/crates/core/tests/sharing_world/mod.rs
+++ b/crates/core/tests/sharing_world/mod.rs
@@ -10,8 +10,8 @@
     RequestSummary,
 };
 use shelfjunction_core::routing::pool::{
-    Admission, EngineStage, PoolAdmission, PoolRouter, PoolWeights, PromptPart, PromptShape, RequestConstraints,
-    RequestTiming, PeerLoadSlice, rank_for_priority,
+    Admission, EngineStage, PeerLoadSlice, PoolAdmission, PoolRouter, PoolWeights, PromptPart, PromptShape,
+    RequestConstraints, RequestTiming, rank_for_priority,
 };
 use shelfjunction_core::sharing::UseWord;
 use shelfjunction_core::time::MonotonicTime;
--- a/crates/core/tests/working_set.rs
+++ b/crates/core/tests/working_set.rs
@@ -6,9 +6,9 @@
 use shelfjunction_core::identity::{EngineId, ZoneId};
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::routing::pool::{
-    Admission, EngineStage, KvCacheSource, PeerLoad, PoolAdmission, PoolEngine, PoolQuery, PoolRoute,
-    PoolRouter, PoolTicket, PoolWeights, PrefixBlock, PromptPart, PromptShape, RequestConstraints, RequestTiming,
-    PeerLoadSlice,
+    Admission, EngineStage, KvCacheSource, PeerLoad, PeerLoadSlice, PoolAdmission, PoolEngine, PoolQuery,
+    PoolRoute, PoolRouter, PoolTicket, PoolWeights, PrefixBlock, PromptPart, PromptShape, RequestConstraints,
+    RequestTiming,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::collections::BTreeSet;
--- a/crates/node/src/peers/sending.rs
+++ b/crates/node/src/peers/sending.rs
@@ -180,7 +180,10 @@
         let slices = work.len().div_ceil(ENGINES_PER_SLICE).max(1) as u16;
         let mut sent = 0;
         for index in 0..slices {
-            let slice = PeerLoadSlice { index, slice_count: slices };
+            let slice = PeerLoadSlice {
+                index,
+                slice_count: slices,
+            };
             let works: Vec<_> = work
                 .iter()
                 .copied()
--- a/crates/protocol/src/node_words.rs
+++ b/crates/protocol/src/node_words.rs
@@ -14,7 +14,7 @@
 use shelfjunction_core::quarantine::word::{SuspectWord, TrialWord};
 use shelfjunction_core::retry::census::SharingWord;
 use shelfjunction_core::routing::pool::{
-    EngineStage, ListUpdate, PaceReports, PeerLoad, PrefixUpdate, SilenceReport, PeerLoadSlice,
+    EngineStage, ListUpdate, PaceReports, PeerLoad, PeerLoadSlice, PrefixUpdate, SilenceReport,
 };
 use shelfjunction_core::sharing::UseWord;
 use shelfjunction_core::watching::TableWord;
--- a/crates/protocol/tests/node_formats.rs
+++ b/crates/protocol/tests/node_formats.rs
@@ -9,8 +9,8 @@
 use shelfjunction_core::identity::{EngineId, EngineStart, NodeId, ZoneId};
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::routing::pool::{
-    EngineStage, KnownChanges, ListChange, ListSnapshot, ListUpdate, PeerLoad, PoolEngine, PrefixBlock,
-    PrefixUpdate, PeerLoadSlice,
+    EngineStage, KnownChanges, ListChange, ListSnapshot, ListUpdate, PeerLoad, PeerLoadSlice, PoolEngine,
+    PrefixBlock, PrefixUpdate,
 };
 use shelfjunction_protocol::node_snapshot::{Snapshot, SnapshotError, Wanted};
 use shelfjunction_protocol::node_words::Datagram;
@@ -120,8 +120,20 @@
 fn the_first_build_reads_a_slice_of_nothing_as_such() {
     assert!(!PeerLoadSlice::EMPTY.includes(SubjectHandle::of_number(1 << 40)));
     assert!(PeerLoadSlice::EMPTY.accepts_sparse_reports() && PeerLoadSlice::EMPTY.is_empty());
-    assert!(!PeerLoadSlice { index: 0, slice_count: 0 }.accepts_sparse_reports());
-    assert!(!PeerLoadSlice { index: 1, slice_count: 2 }.accepts_sparse_reports());
+    assert!(
+        !PeerLoadSlice {
+            index: 0,
+            slice_count: 0
+        }
+        .accepts_sparse_reports()
+    );
+    assert!(
+        !PeerLoadSlice {
+            index: 1,
+            slice_count: 2
+        }
+        .accepts_sparse_reports()
+    );
 }
 
 #[test]
