--- a/crates/core/src/routing/pool/admission.rs
+++ b/crates/core/src/routing/pool/admission.rs
@@ -160,7 +160,7 @@
 }
 
 /// Rank of late requests, below the rank of every route.
-pub const LATE_RANK: usize = super::beliefs::RANK_COUNT - 1;
+pub const LATE_RANK: usize = super::peer_reports::RANK_COUNT - 1;
 
 /// Whether to admit a prompt that would miss its target even with an empty queue. A configured fraction of such prompts
 /// is admitted so that they are not starved; the fraction is the same at every placer.
@@ -231,9 +231,9 @@
     }
 
     fn standing(&self, query: &PoolQuery<'_>, settings: &PoolAdmission, now: MonotonicTime) -> Standing {
-        let kind = usize::from(query.terms.kind_rank);
+        let kind = usize::from(query.constraints.kind_rank);
         self.sharing
-            .standing(query.pool, query.terms.tenant, kind, &settings.sharing, now)
+            .standing(query.pool, query.constraints.tenant, kind, &settings.sharing, now)
     }
 
     /// Decides whether a request that will miss its target is served late or refused.
@@ -295,7 +295,7 @@
             };
             let state = self.engines.get(&engine.id)?;
             let ahead = state.load(now).prompt_tokens_ahead(query.rank);
-            let prefill_tokens = context.reading(state, query).computed;
+            let prefill_tokens = context.prefill_work(state, query).computed;
             let slot_wait = state.slot_wait(now).as_secs_f64();
             let seconds = slot_wait + state.prefill_seconds(speed, ahead + prefill_tokens, now);
             let uncontended = state.prefill_seconds(speed, prefill_tokens, now);
@@ -346,7 +346,7 @@
             self.demand.on_sent(f64::from(tokens - held), now);
         }
         let sharing = &settings.sharing;
-        let tenant = query.terms.tenant.filter(|_| sharing.tenants);
+        let tenant = query.constraints.tenant.filter(|_| sharing.tenants);
         if tenant.is_none() && !sharing.kinds {
             return None;
         }
@@ -355,7 +355,7 @@
         }
         let is_admitted = decision.admission == Admission::InTime;
         if sharing.kinds && !is_admitted && !timing.is_retry {
-            let kind = usize::from(query.terms.kind_rank);
+            let kind = usize::from(query.constraints.kind_rank);
             self.sharing
                 .on_outcome(query.pool, kind, false, sharing.window(), now);
         }
--- a/crates/core/src/routing/pool/router.rs
+++ b/crates/core/src/routing/pool/router.rs
@@ -1,8 +1,8 @@
 //! The router and what it knows of each engine.
 
-use super::beliefs::PrefixUpdate;
+use super::peer_reports::PrefixUpdate;
 use super::cordons::ActiveCordon;
-use super::demand::PromptDemand;
+use super::prompt_demand::PromptDemand;
 use super::engine::{DELISTED_RETENTION, Delisted, EngineStage, EngineState, PoolEngine, ReportedLoad};
 use super::limits::SentRate;
 use super::pace::{PaceChange, PoolPace};
@@ -47,7 +47,7 @@
     pub(super) demand: PromptDemand,
     /// Requests that this node sent, by pool and stage.
     pub(super) sent_rates: BTreeMap<(PoolId, EngineStage), SentRate>,
-    pub(super) tickets: u64,
+    pub(super) last_ticket_number: u64,
     /// Cordons in force.
     pub(super) cordons: Vec<ActiveCordon>,
     pub(super) sharing: UseLedger,
@@ -77,7 +77,7 @@
             pace_changes: Vec::new(),
             demand: PromptDemand::default(),
             sent_rates: BTreeMap::new(),
-            tickets: 0,
+            last_ticket_number: 0,
             cordons: Vec::new(),
             sharing: UseLedger::default(),
             signals: SignalRegister::default(),
--- a/crates/core/src/routing/pool/silences.rs
+++ b/crates/core/src/routing/pool/silences.rs
@@ -3,7 +3,7 @@
 //! Placers share these observations because each of them sees only a fraction of the requests. Without the reports,
 //! every placer would have to let requests time out before it avoids an engine.
 
-use super::beliefs::SilenceReport;
+use super::peer_reports::SilenceReport;
 use super::dispatches::PoolTicket;
 use super::paths::PathChange;
 use super::router::PoolRouter;
@@ -48,7 +48,7 @@
             return;
         };
         let pause = state.health.on_unresponsive(now);
-        state.breaks.broke(now);
+        state.breaks.record_failure(now);
         let (zone, engine) = (state.engine.zone.clone(), state.handle);
         let from = ticket.from();
         if pause.is_some() {
