--- a/crates/core/src/routing/pool/mod.rs
+++ b/crates/core/src/routing/pool/mod.rs
@@ -8,44 +8,46 @@
 //! [`cost`] documents the formula.
 
 mod admission;
+mod peer_reports;
 mod choice;
 mod concurrent_work;
 mod cordons;
 pub mod cost;
+mod prompt_demand;
 mod dispatches;
 mod ended_starts;
 mod engine;
+mod expectation;
 mod limits;
 mod list_changes;
 mod listing;
 mod pace;
 mod paths;
 pub mod pauses;
-mod peer_reports;
 mod peers;
 mod pool_speeds;
-mod prefill_speed;
 mod prefix_cache;
-mod prompt_demand;
 mod query;
 mod reachability;
 mod recent_changes;
 mod reclaims;
 mod risk;
 mod router;
-mod running_stats;
 mod signals;
 mod silences;
+mod speed;
 mod weights;
 mod working_set;
 
 pub use admission::{Admission, AdmissionDecision, LATE_RANK, PoolAdmission, RequestTiming};
+pub use peer_reports::{PeerLoad, PrefixUpdate, RANK_COUNT, SilenceReport, PeerLoadSlice, rank_for_priority};
 pub use choice::{EngineEstimate, Explanation, PoolRoute};
 pub use concurrent_work::ConcurrentWork;
 pub use cordons::{ActiveCordon, AvoidanceReason};
 pub use cost::shared_prefixes;
 pub use dispatches::{KvCacheSource, PoolTicket};
 pub use engine::{EngineLoad, EngineStage, EngineState, PoolEngine, ReportedLoad};
+pub use expectation::{EstimateError, PrefillPauses, RejectionRate};
 pub use list_changes::KnownChanges;
 pub use listing::{EngineListing, ListChange, ListSnapshot};
 pub use pace::{
@@ -53,15 +55,13 @@
     PaceReports, PaceSpread, PoolPace, ReportedPace,
 };
 pub use paths::{PathChange, PathState, Paths};
-pub use peer_reports::{PeerLoad, PeerLoadSlice, PrefixUpdate, RANK_COUNT, SilenceReport, rank_for_priority};
 pub use pool_speeds::PoolSpeeds;
-pub use prefill_speed::PrefillSpeed;
 pub use prefix_cache::PrefixCacheEstimate;
 pub use query::{PoolQuery, PrefixBlock, PromptPart, PromptShape, RequestConstraints};
 pub use recent_changes::{ListUpdate, RecentChanges};
 pub use router::PoolRouter;
-pub use running_stats::{EstimateError, PrefillPauses, RejectionRate};
 pub use signals::NotAccepting;
 pub use silences::EngineAvailabilityChange;
+pub use speed::PrefillSpeed;
 pub use weights::PoolWeights;
 pub use working_set::{WorkingSetChange, WorkingSetSettings};
--- a/crates/core/src/routing/pool/silences.rs
+++ b/crates/core/src/routing/pool/silences.rs
@@ -50,7 +50,7 @@
         let pause = state.health.on_unresponsive(now);
         state.breaks.record_failure(now);
         let (zone, engine) = (state.engine.zone.clone(), state.handle);
-        let from = ticket.from();
+        let from = ticket.sender_zone();
         if pause.is_some() {
             self.record_availability_change(ticket.engine().clone(), pause, false);
         }
--- /dev/null
+++ b/crates/core/src/routing/pool/speed.rs
@@ -0,0 +1,118 @@
+//! Estimates prefill duration from the prompt tokens to process, fitted to recent observations.
+
+use std::time::Duration;
+
+/// Factor by which the weight of older observations decays with each new one.
+const DECAY: f64 = 0.97;
+
+/// Weight of the initial estimate, in observations.
+const INITIAL_WEIGHT: f64 = 2.0;
+
+/// Maximum ratio between an observation and its expected value, in either direction. Observations beyond it are clamped, so
+/// that an outlier has little effect while a lasting change is still followed.
+pub(super) const MAX_OUTLIER_RATIO: f64 = 2.5;
+
+/// Minimum standard deviation of the token counts, relative to their mean, at which both parameters are fitted. Below it,
+/// the fixed part cannot be told from the time per token.
+const MIN_RELATIVE_DEVIATION: f64 = 0.25;
+
+/// Minimum number of observations before the estimate counts as learned.
+const MIN_LEARNED_OBSERVATIONS: u32 = 20;
+
+/// Initial estimate of the fixed part of a prefill, in seconds.
+const INITIAL_FIXED_SECONDS: f64 = 0.010;
+
+/// Token count of the observation that stands for the initial estimate.
+const INITIAL_TOKENS: f64 = 5_000.0;
+
+/// Minimum estimated time per token, in seconds.
+const MIN_SECONDS_PER_TOKEN: f64 = 1e-8;
+
+/// Linear model of the time until a prompt is prefilled, as a function of the tokens to prefill until then, including
+/// those of prompts ahead in the queue.
+///
+/// Fitted by weighted least squares; the weight of an observation decays exponentially with each later one, and outliers
+/// are clamped relative to the current estimate.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct PrefillSpeed {
+    fixed_seconds: f64,
+    seconds_per_token: f64,
+    weight: f64,
+    tokens: f64,
+    seconds: f64,
+    tokens_squared: f64,
+    tokens_seconds: f64,
+    observations: u32,
+}
+
+impl PrefillSpeed {
+    /// Creates an estimate with an initial speed in tokens per second.
+    pub fn with_initial_speed(tokens_per_second: f64) -> Self {
+        let seconds_per_token = 1.0 / tokens_per_second;
+        let seconds = INITIAL_FIXED_SECONDS + INITIAL_TOKENS * seconds_per_token;
+        Self {
+            fixed_seconds: INITIAL_FIXED_SECONDS,
+            seconds_per_token,
+            weight: INITIAL_WEIGHT,
+            tokens: INITIAL_WEIGHT * INITIAL_TOKENS,
+            seconds: INITIAL_WEIGHT * seconds,
+            tokens_squared: INITIAL_WEIGHT * INITIAL_TOKENS * INITIAL_TOKENS,
+            tokens_seconds: INITIAL_WEIGHT * INITIAL_TOKENS * seconds,
+            observations: 0,
+        }
+    }
+
+    /// Whether there were enough observations for the estimate not to depend on the initial speed.
+    pub fn is_learned(&self) -> bool {
+        self.observations >= MIN_LEARNED_OBSERVATIONS
+    }
+
+    /// Throughput under continuous load, in tokens per second.
+    pub fn tokens_per_second(&self) -> f64 {
+        1.0 / self.seconds_per_token
+    }
+
+    /// Part of the time that does not depend on the token count, in seconds.
+    pub fn fixed_seconds(&self) -> f64 {
+        self.fixed_seconds
+    }
+
+    /// Estimated time to prefill a number of tokens, in seconds.
+    pub fn seconds(&self, tokens: f64) -> f64 {
+        self.fixed_seconds + tokens * self.seconds_per_token
+    }
+
+    /// Records one prefill: the tokens processed until it was done, and the elapsed time.
+    pub fn observe(&mut self, tokens: f64, took: Duration) {
+        let expected = self.seconds(tokens);
+        let seconds = took
+            .as_secs_f64()
+            .clamp(expected / MAX_OUTLIER_RATIO, expected * MAX_OUTLIER_RATIO);
+        self.observations = self.observations.saturating_add(1);
+        self.weight = self.weight * DECAY + 1.0;
+        self.tokens = self.tokens * DECAY + tokens;
+        self.seconds = self.seconds * DECAY + seconds;
+        self.tokens_squared = self.tokens_squared * DECAY + tokens * tokens;
+        self.tokens_seconds = self.tokens_seconds * DECAY + tokens * seconds;
+        self.fit();
+    }
+
+    fn fit(&mut self) {
+        let mean_tokens = self.tokens / self.weight;
+        let mean_seconds = self.seconds / self.weight;
+        if mean_tokens <= 0.0 {
+            return;
+        }
+        let variance = (self.tokens_squared / self.weight - mean_tokens * mean_tokens).max(0.0);
+        if variance.sqrt() >= MIN_RELATIVE_DEVIATION * mean_tokens {
+            let covariance = self.tokens_seconds / self.weight - mean_tokens * mean_seconds;
+            self.seconds_per_token = covariance / variance;
+        } else {
+            self.seconds_per_token = (mean_seconds - self.fixed_seconds) / mean_tokens;
+        }
+        let max = (mean_seconds / mean_tokens).max(MIN_SECONDS_PER_TOKEN);
+        self.seconds_per_token = self.seconds_per_token.clamp(MIN_SECONDS_PER_TOKEN, max);
+        // Rounding errors may make an intercept of zero slightly negative.
+        self.fixed_seconds = (mean_seconds - mean_tokens * self.seconds_per_token).max(0.0);
+    }
+}
--- a/crates/core/tests/pool_pauses.rs
+++ b/crates/core/tests/pool_pauses.rs
@@ -35,7 +35,7 @@
     fn forecast(work_factor: f64) -> PauseForecast {
         PauseForecast {
             event_interval_seconds: 0.050,
-            prefill: PrefillSpeed::assumed(30_000.0),
+            prefill: PrefillSpeed::with_initial_speed(30_000.0),
             work_factor,
             recent_prefill_tokens: 0.0,
         }
