--- a/crates/core/src/routing/pool/limits.rs
+++ b/crates/core/src/routing/pool/limits.rs
@@ -138,7 +138,8 @@
             .engines
             .values()
             .filter(|other| other.engine.pool == *pool && other.engine.stage == stage && other.is_active());
-        let rate_per_engine = own_rate * self.demand.total_to_own_ratio(now) / same_stage.count().max(1) as f64;
+        let rate_per_engine =
+            own_rate * self.demand.total_to_own_ratio(now) / same_stage.count().max(1) as f64;
         if rate_per_engine <= 0.0 {
             return 1.0;
         }
--- a/crates/core/src/routing/pool/mod.rs
+++ b/crates/core/src/routing/pool/mod.rs
@@ -8,12 +8,10 @@
 //! [`cost`] documents the formula.
 
 mod admission;
-mod peer_reports;
 mod choice;
 mod concurrent_work;
 mod cordons;
 pub mod cost;
-mod prompt_demand;
 mod dispatches;
 mod ended_starts;
 mod engine;
@@ -24,9 +22,11 @@
 mod pace;
 mod paths;
 pub mod pauses;
+mod peer_reports;
 mod peers;
 mod pool_speeds;
 mod prefix_cache;
+mod prompt_demand;
 mod query;
 mod reachability;
 mod recent_changes;
@@ -40,7 +40,6 @@
 mod working_set;
 
 pub use admission::{Admission, AdmissionDecision, LATE_RANK, PoolAdmission, RequestTiming};
-pub use peer_reports::{PeerLoad, PrefixUpdate, RANK_COUNT, SilenceReport, PeerLoadSlice, rank_for_priority};
 pub use choice::{EngineEstimate, Explanation, PoolRoute};
 pub use concurrent_work::ConcurrentWork;
 pub use cordons::{ActiveCordon, AvoidanceReason};
@@ -55,6 +54,7 @@
     PaceReports, PaceSpread, PoolPace, ReportedPace,
 };
 pub use paths::{PathChange, PathState, Paths};
+pub use peer_reports::{PeerLoad, PeerLoadSlice, PrefixUpdate, RANK_COUNT, SilenceReport, rank_for_priority};
 pub use pool_speeds::PoolSpeeds;
 pub use prefix_cache::PrefixCacheEstimate;
 pub use query::{PoolQuery, PrefixBlock, PromptPart, PromptShape, RequestConstraints};
--- a/crates/core/src/routing/pool/router.rs
+++ b/crates/core/src/routing/pool/router.rs
@@ -1,13 +1,13 @@
 //! The router and what it knows of each engine.
 
-use super::peer_reports::PrefixUpdate;
 use super::cordons::ActiveCordon;
-use super::prompt_demand::PromptDemand;
 use super::engine::{DELISTED_RETENTION, Delisted, EngineStage, EngineState, PoolEngine, ReportedLoad};
 use super::limits::SentRate;
 use super::pace::{PaceChange, PoolPace};
 use super::paths::Paths;
+use super::peer_reports::PrefixUpdate;
 use super::pool_speeds::PoolSpeeds;
+use super::prompt_demand::PromptDemand;
 use super::silences::{EngineAvailabilityChange, PendingSilence};
 use super::weights::PoolWeights;
 use super::working_set::WorkingSet;
