--- a/crates/core/src/routing/pool/limits.rs
+++ b/crates/core/src/routing/pool/limits.rs
@@ -81,7 +81,7 @@
 
     /// Applies a limit notice from another node. Returns the engine if the notice changed its known limit.
     pub fn on_limit_notice(&mut self, notice: &LimitNotice, now: MonotonicTime) -> Option<&EngineState> {
-        let state = self.state_by_handle(notice.engine)?;
+        let state = self.state_of(notice.engine)?;
         let age = Duration::from_millis(u64::from(notice.age_millis));
         let change = state.limit.on_notice(notice.limit, now - age);
         let wait = Duration::from_millis(u64::from(notice.slot_wait_millis));
@@ -93,7 +93,7 @@
 
     /// Records the time until the next request slot of an engine.
     pub fn note_slot(&mut self, engine: SubjectHandle, wait: Duration, now: MonotonicTime) {
-        if let Some(state) = self.state_by_handle(engine) {
+        if let Some(state) = self.state_of(engine) {
             state.limit.note_slot(wait, now);
         }
     }
--- a/crates/core/src/routing/pool/pace/router.rs
+++ b/crates/core/src/routing/pool/pace/router.rs
@@ -243,7 +243,7 @@
             .split_off(max_momentary_reports.min(self.unsent_paces.len()));
         let handles = std::mem::replace(&mut self.unsent_paces, rest);
         let figures = handles.into_iter().filter_map(|handle| {
-            let (reported, reported_at) = self.state_by_handle(handle)?.pace.momentary.latest()?;
+            let (reported, reported_at) = self.state_of(handle)?.pace.momentary.latest()?;
             Some(ReportedPace {
                 engine: handle,
                 percent: (reported * 100.0) as u16,
@@ -289,13 +289,13 @@
                 ..ReportedLoad::default()
             };
             let reported_at = now - Duration::from_millis(u64::from(report.age_millis));
-            if let (Some(reported), Some(state)) = (reported_pace(&load), self.state_by_handle(report.engine))
+            if let (Some(reported), Some(state)) = (reported_pace(&load), self.state_of(report.engine))
             {
                 state.pace.momentary.record_latest(reported, reported_at);
             }
         }
         for report in &reports.lasting {
-            if let Some(state) = self.state_by_handle(report.engine) {
+            if let Some(state) = self.state_of(report.engine) {
                 let factor = f64::from(report.thousandths) / 1_000.0;
                 state
                     .pace
--- a/crates/core/src/routing/pool/peers.rs
+++ b/crates/core/src/routing/pool/peers.rs
@@ -32,14 +32,14 @@
             .partition(|handle| slice.includes(**handle));
         *before = kept.into_iter().chain(reported).collect();
         for handle in dropped {
-            if let Some(state) = self.state_by_handle(handle) {
+            if let Some(state) = self.state_of(handle) {
                 state.peers.remove(peer);
             }
         }
         for (handle, work) in loads {
             // This node's next request may be sent to an engine that a peer uses, so it has to know the engine's load.
             self.bring_into_use(*handle);
-            if let Some(state) = self.state_by_handle(*handle) {
+            if let Some(state) = self.state_of(*handle) {
                 state.peers.insert(peer.clone(), (*work, now));
                 state
                     .recent_prefill
@@ -60,7 +60,7 @@
     /// Records orders to change the stage of engines, given by this node or a peer.
     pub fn on_stage_orders(&mut self, orders: &[(SubjectHandle, EngineStage)], now: MonotonicTime) {
         for (handle, stage) in orders {
-            if let Some(state) = self.state_by_handle(*handle)
+            if let Some(state) = self.state_of(*handle)
                 && state.engine.stage != *stage
                 && state.stage_order.is_none_or(|(known, _)| known != *stage)
             {
@@ -121,18 +121,18 @@
 
     /// Demand from this node's own requests, in prompt tokens per second.
     pub fn own_demand(&self, now: MonotonicTime) -> u32 {
-        self.demand.own_tokens_per_second(now) as u32
+        self.demand.own(now) as u32
     }
 
     /// Records the demand that a peer reports, in prompt tokens per second.
     pub fn on_peer_demand(&mut self, peer: &NodeId, tokens_per_second: u32, now: MonotonicTime) {
-        self.demand.on_peer_report(peer, tokens_per_second, now);
+        self.demand.on_peer(peer, tokens_per_second, now);
     }
 
     /// Applies a peer's updates about prefix blocks that engines hold.
     pub fn on_prefix_updates(&mut self, updates: &[PrefixUpdate], now: MonotonicTime) {
         for update in updates {
-            if let Some(state) = self.state_by_handle(update.engine) {
+            if let Some(state) = self.state_of(update.engine) {
                 if update.just_answered {
                     state.record_answer(now);
                 }
--- a/crates/core/src/routing/pool/prompt_demand.rs
+++ b/crates/core/src/routing/pool/prompt_demand.rs
@@ -32,7 +32,7 @@
     }
 
     /// Takes another node's word.
-    pub fn on_peer_report(&mut self, peer: &NodeId, tokens_per_second: u32, now: MonotonicTime) {
+    pub fn on_peer(&mut self, peer: &NodeId, tokens_per_second: u32, now: MonotonicTime) {
         if tokens_per_second > 0 {
             self.first_at.get_or_insert(now);
         }
@@ -41,7 +41,7 @@
     }
 
     /// This node's demand, in tokens per second.
-    pub fn own_tokens_per_second(&self, now: MonotonicTime) -> f64 {
+    pub fn own(&self, now: MonotonicTime) -> f64 {
         self.decayed(now) / TIME_CONSTANT.as_secs_f64()
     }
 
@@ -52,12 +52,12 @@
             .peers
             .values()
             .filter(|(_, at)| now.since(*at) < PEER_LIFETIME);
-        Some(self.own_tokens_per_second(now) + fresh.map(|(tokens, _)| tokens).sum::<f64>())
+        Some(self.own(now) + fresh.map(|(tokens, _)| tokens).sum::<f64>())
     }
 
     /// Every node's demand as a multiple of this node's own; one where it has none.
     pub fn total_to_own_ratio(&self, now: MonotonicTime) -> f64 {
-        let own = self.own_tokens_per_second(now);
+        let own = self.own(now);
         let all = self.prompt_tokens_per_second(now);
         all.filter(|_| own > 0.0).map_or(1.0, |all| all / own)
     }
--- a/crates/core/src/routing/pool/router.rs
+++ b/crates/core/src/routing/pool/router.rs
@@ -169,7 +169,7 @@
     }
 
     /// The engine with a handle.
-    pub(super) fn state_by_handle(&mut self, handle: SubjectHandle) -> Option<&mut EngineState> {
+    pub(super) fn state_of(&mut self, handle: SubjectHandle) -> Option<&mut EngineState> {
         self.engines.get_mut(self.engine_of.get(&handle)?)
     }
 
--- a/crates/core/src/routing/pool/signals.rs
+++ b/crates/core/src/routing/pool/signals.rs
@@ -63,7 +63,7 @@
         if !self.signals.note_draining(engine) {
             return false;
         }
-        if let Some(state) = self.state_by_handle(engine) {
+        if let Some(state) = self.state_of(engine) {
             state.engine.leaving = true;
         }
         self.withdraw(engine);
@@ -77,7 +77,7 @@
         reason: EngineRefusalReason,
         now: MonotonicTime,
     ) {
-        if let Some(state) = self.state_by_handle(engine) {
+        if let Some(state) = self.state_of(engine) {
             state.health.on_refusal(reason, now);
         }
     }
--- a/crates/core/src/routing/pool/silences.rs
+++ b/crates/core/src/routing/pool/silences.rs
@@ -77,7 +77,7 @@
         for report in reports {
             let age = Duration::from_millis(report.sent_before_millis.into());
             let sent_at = now.earlier(age).unwrap_or_default();
-            let Some(state) = self.state_by_handle(report.engine) else {
+            let Some(state) = self.state_of(report.engine) else {
                 continue;
             };
             let zone = state.engine.zone.clone();
@@ -86,7 +86,7 @@
             self.paths
                 .record_reported_silence(&report.from, &zone, report.engine, engines, sent_at, now);
             let path_is_trusted = self.paths.allows_transfer(&report.from, &zone);
-            if let Some(state) = self.state_by_handle(report.engine)
+            if let Some(state) = self.state_of(report.engine)
                 && avoids_engines
                 && path_is_trusted
                 && !has_answered_since
