--- a/crates/core/src/routing/pool/pace/router.rs
+++ b/crates/core/src/routing/pool/pace/router.rs
@@ -289,8 +289,7 @@
                 ..ReportedLoad::default()
             };
             let reported_at = now - Duration::from_millis(u64::from(report.age_millis));
-            if let (Some(reported), Some(state)) = (reported_pace(&load), self.state_of(report.engine))
-            {
+            if let (Some(reported), Some(state)) = (reported_pace(&load), self.state_of(report.engine)) {
                 state.pace.momentary.record_latest(reported, reported_at);
             }
         }
