--- a/crates/core/src/routing/pool/pace/router.rs
+++ b/crates/core/src/routing/pool/pace/router.rs
@@ -258,7 +258,7 @@
 
     /// Lasting paces of the next engines, ordered by their ids.
     fn next_lasting_reports(&mut self, max_reports: usize) -> Vec<LastingPaceReport> {
-        let last = self.lasting_cursor.clone();
+        let last = self.lasting_pace_cursor.clone();
         let is_after_cursor = |engine: &EngineId| last.as_ref().is_none_or(|last| engine > last);
         let following = self.engines.iter().filter(|(engine, _)| is_after_cursor(engine));
         let batch = following.filter_map(|(engine, state)| {
@@ -272,7 +272,7 @@
         });
         let batch: Vec<_> = batch.take(max_reports).collect();
         // A short batch ends the list, so the next call starts from the beginning.
-        self.lasting_cursor = (batch.len() == max_reports)
+        self.lasting_pace_cursor = (batch.len() == max_reports)
             .then(|| batch.last().map(|(engine, _)| engine.clone()))
             .flatten();
         batch.into_iter().map(|(_, report)| report).collect()
--- a/crates/core/src/routing/pool/demand.rs
+++ b/crates/core/src/routing/pool/prompt_demand.rs
@@ -56,7 +56,7 @@
     }
 
     /// Every node's demand as a multiple of this node's own; one where it has none.
-    pub fn all_to_own(&self, now: MonotonicTime) -> f64 {
+    pub fn total_to_own_ratio(&self, now: MonotonicTime) -> f64 {
         let own = self.own(now);
         let all = self.prompt_tokens_per_second(now);
         all.filter(|_| own > 0.0).map_or(1.0, |all| all / own)
--- a/crates/core/tests/engine_signals.rs
+++ b/crates/core/tests/engine_signals.rs
@@ -9,7 +9,7 @@
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::routing::pool::{
     EngineStage, NotAccepting, PoolEngine, PoolQuery, PoolRoute, PoolRouter, PoolWeights, ReportedLoad,
-    RequestTerms, WorkingSetSettings,
+    RequestConstraints, WorkingSetSettings,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -93,7 +93,7 @@
             now = now + Duration::from_millis(pause);
             apply(&mut router, source, &draining, now);
             router.update_working_set(now);
-            prop_assert_eq!(router.taking_work(now), 0);
+            prop_assert_eq!(router.engines_taking_work(now), 0);
             prop_assert_eq!(router.reserve().count(), 0);
             prop_assert_eq!(router.not_accepting(&draining.id, now), Some(NotAccepting::Draining));
         }
@@ -106,7 +106,7 @@
     let mut router = router(std::slice::from_ref(&first));
     router.on_draining(handle(&first));
     router.on_engine_listed(second.clone());
-    assert_eq!(router.taking_work(NOW), 1);
+    assert_eq!(router.engines_taking_work(NOW), 1);
     assert_eq!(router.not_accepting(&second.id, NOW), None);
     assert_eq!(router.not_accepting(&first.id, NOW), Some(NotAccepting::Draining));
 }
@@ -152,7 +152,7 @@
             from_this_node,
             excluded: &[],
             last_resort: false,
-            terms: RequestTerms::default(),
+            constraints: RequestConstraints::default(),
             draw,
             rank: 1,
             remaining: Duration::from_secs(5),
@@ -200,7 +200,7 @@
     let mut router = router(std::slice::from_ref(&only));
     router.on_backoff_requested(&only.id, BACKOFF, NOW);
     router.on_backoff_requested(&only.id, BACKOFF / 10, NOW);
-    router.on_told(&only.id, ReportedLoad::default(), NOW);
+    router.on_reported_load(&only.id, ReportedLoad::default(), NOW);
     router.on_engine_listed(only.clone());
     let before_end = NOW + BACKOFF - Duration::from_millis(1);
     assert_eq!(routed_percent(&router, "only", true, before_end), 0);
