--- a/crates/core/src/placing/placement_table.rs
+++ b/crates/core/src/placing/placement_table.rs
@@ -397,7 +397,7 @@
                     router.on_pause(&ticket, f64::from(*pause) * PAUSE_UNIT, now);
                 }
                 router.on_output_ended(&ticket, now);
-                router.on_answered(&ticket);
+                router.on_completed(&ticket);
             }
             DispatchProgress::Refused {
                 reason,
@@ -408,7 +408,7 @@
                 }
                 router.on_refused(&ticket, *reason, now);
             }
-            DispatchProgress::ConnectionFailed => router.on_broken(&ticket, now),
+            DispatchProgress::ConnectionFailed => router.on_connection_failed(&ticket, now),
             DispatchProgress::Unresponsive => router.on_silence(&ticket, now),
             DispatchProgress::Abandoned => {
                 self.take_back_charge(router, now);
--- a/crates/core/src/routing/pool/concurrent_work.rs
+++ b/crates/core/src/routing/pool/concurrent_work.rs
@@ -14,7 +14,7 @@
     /// Prompt tokens waiting for prefill.
     pub prompt_tokens: u64,
     /// Tokens of KV cache being transferred to the engine.
-    pub moving_tokens: u64,
+    pub transfer_tokens: u64,
     /// Duration of work at the engine, as a percentage of the average in the pool.
     pub work_factor_percent: u32,
 }
@@ -25,11 +25,11 @@
         let Some(state) = self.engines.get(engine) else {
             return ConcurrentWork::default();
         };
-        let work = state.load(now);
+        let load = state.load(now);
         ConcurrentWork {
-            outputs: work.outputs as u32,
-            prompt_tokens: work.all_prompt_tokens() as u64,
-            moving_tokens: work.moving_tokens as u64,
+            outputs: load.outputs as u32,
+            prompt_tokens: load.all_prompt_tokens() as u64,
+            transfer_tokens: load.transfer_tokens as u64,
             work_factor_percent: (state.work_factor(now) * 100.0) as u32,
         }
     }
--- a/crates/core/src/routing/pool/cost.rs
+++ b/crates/core/src/routing/pool/cost.rs
@@ -199,7 +199,7 @@
             return 0.0;
         }
         let forecast = PauseForecast {
-            event_interval_seconds: self.speeds.pace.seconds(),
+            event_interval_seconds: self.speeds.event_interval.seconds(),
             prefill: self.speeds.decode,
             work_factor: state.work_factor(self.now),
             recent_prefill_tokens: state.recent_prefill.tokens(self.now),
@@ -246,7 +246,7 @@
 
     /// An engine takes one KV cache after the other over its link.
     fn arriving(&self, work: &EngineLoad) -> f64 {
-        self.weights.arriving * work.moving_tokens * self.move_seconds.unwrap_or_default()
+        self.weights.arriving * work.transfer_tokens * self.move_seconds.unwrap_or_default()
     }
 
     fn load(&self, state: &EngineState, work: &EngineLoad) -> f64 {
--- a/crates/core/src/routing/pool/dispatches.rs
+++ b/crates/core/src/routing/pool/dispatches.rs
@@ -66,7 +66,7 @@
     ) -> PoolTicket {
         let prefill = self.prefill_work_at(engine, query, now);
         let memory_tokens = query.prompt.map_or(0, |prompt| prompt.tokens);
-        self.note_dispatch(engine, query, prefill, f64::from(memory_tokens), None, now)
+        self.record_dispatch(engine, query, prefill, f64::from(memory_tokens), None, now)
     }
 
     /// Records the dispatch of a request to the engine that generates its output.
@@ -86,7 +86,7 @@
             },
         };
         let memory_tokens = query.prompt.map_or(0, PromptShape::memory_tokens);
-        self.note_dispatch(
+        self.record_dispatch(
             engine,
             query,
             prefill,
@@ -108,7 +108,7 @@
             return;
         };
         state.health.on_success();
-        state.breaks.record_success();
+        state.failure_rate.record_success();
         record_prefixes(state, prefixes, &mut self.prefix_updates, now);
         self.paths
             .record_answer(&ticket.sender_zone, &state.engine.zone, now);
@@ -138,15 +138,15 @@
         };
         let before = *work;
         work.prompt_tokens = 0.0;
-        work.moving_tokens = 0.0;
+        work.transfer_tokens = 0.0;
         work.first_event_at = Some(now);
         work.momentary_pace = state.pace.momentary_factor(now);
         if before.prompt_tokens > 0.0 {
             self.observe_prefill(&ticket.engine, &before, |speeds| &mut speeds.decode, now);
         } else if before.kv_source == Some(KvCacheSource::Transfer) {
             let pool = state.engine.pool.clone();
-            let assumed = self.assumed_speeds();
-            let speeds = self.speeds.entry(pool).or_insert(assumed);
+            let initial_speeds = self.assumed_speeds();
+            let speeds = self.speeds.entry(pool).or_insert(initial_speeds);
             if before.rank != LATE_RANK {
                 speeds.observe_handoff(now.since(before.sent_at), before.had_free_slot);
             }
@@ -155,11 +155,14 @@
 
     /// Records the gap between two events of an output, as a fraction of the maximum tolerated gap.
     pub fn on_pause(&mut self, ticket: &PoolTicket, fraction: f64, now: MonotonicTime) {
-        let assumed = self.assumed_speeds();
+        let initial_speeds = self.assumed_speeds();
         let Some(state) = self.engines.get(&ticket.engine) else {
             return;
         };
-        let speeds = self.speeds.entry(state.engine.pool.clone()).or_insert(assumed);
+        let speeds = self
+            .speeds
+            .entry(state.engine.pool.clone())
+            .or_insert(initial_speeds);
         if state.load(now).all_prompt_tokens() > 0.0 {
             speeds.pauses.observe(fraction);
         } else if let Some(limit) = state
@@ -168,7 +171,7 @@
             .and_then(|work| work.max_event_gap)
         {
             let seconds = fraction * limit.as_secs_f64();
-            speeds.pace.observe(seconds / state.work_factor(now));
+            speeds.event_interval.observe(seconds / state.work_factor(now));
         }
     }
 
@@ -193,12 +196,12 @@
     }
 
     /// Records that a dispatch succeeded.
-    pub fn on_answered(&mut self, ticket: &PoolTicket) {
+    pub fn on_completed(&mut self, ticket: &PoolTicket) {
         if let Some(state) = self.engines.get_mut(&ticket.engine) {
             let work = state.in_flight.remove(&ticket.number);
             state.health.on_success();
-            state.breaks.record_success();
-            // The time of the answer is not known here; the dispatch time is a lower bound.
+            state.failure_rate.record_success();
+            // The time of the answer is not known here, so the dispatch time is used as its lower bound.
             if let Some(work) = work {
                 self.paths
                     .record_answer(&ticket.sender_zone, &state.engine.zone, work.sent_at);
@@ -225,11 +228,11 @@
     }
 
     /// Records that a connection to an engine failed or was refused.
-    pub fn on_broken(&mut self, ticket: &PoolTicket, now: MonotonicTime) {
+    pub fn on_connection_failed(&mut self, ticket: &PoolTicket, now: MonotonicTime) {
         if let Some(state) = self.engines.get_mut(&ticket.engine) {
             state.in_flight.remove(&ticket.number);
             state.health.on_connection_failure(now);
-            state.breaks.record_failure(now);
+            state.failure_rate.record_failure(now);
         }
     }
 
@@ -241,13 +244,13 @@
         speed_of: fn(&mut PoolSpeeds) -> &mut PrefillSpeed,
         now: MonotonicTime,
     ) {
-        let assumed = self.assumed_speeds();
+        let initial_speeds = self.assumed_speeds();
         let Some(state) = self.engines.get_mut(engine) else {
             return;
         };
         let took = now.since(work.sent_at);
         let pool = state.engine.pool.clone();
-        let speeds = self.speeds.entry(pool).or_insert(assumed);
+        let speeds = self.speeds.entry(pool).or_insert(initial_speeds);
         if work.rank == LATE_RANK {
             // Requests of the lowest rank wait behind all others, so their duration says nothing about the engine.
             speeds.late.observe(work.tokens_until_prefilled, took);
@@ -281,7 +284,7 @@
         }
     }
 
-    fn note_dispatch(
+    fn record_dispatch(
         &mut self,
         engine: &EngineId,
         query: &PoolQuery<'_>,
@@ -302,7 +305,7 @@
                 rank,
                 prompt_tokens: prefill.computed,
                 memory_tokens,
-                moving_tokens: prefill.fetched,
+                transfer_tokens: prefill.fetched,
                 sent_at: now,
                 kv_source,
                 had_free_slot: state.has_free_slot(now),
@@ -347,8 +350,8 @@
 
 /// Updates the slowness of an engine from the actual and the expected duration of a prefill, in seconds.
 fn observe_slowness(state: &mut EngineState, took: Duration, expected: f64) {
-    const FLOOR_SECONDS: f64 = 0.1;
-    let factor = (took.as_secs_f64() + FLOOR_SECONDS) / (expected + FLOOR_SECONDS);
+    const OFFSET_SECONDS: f64 = 0.1;
+    let ratio = (took.as_secs_f64() + OFFSET_SECONDS) / (expected + OFFSET_SECONDS);
     let (min, max) = SLOWNESS_BOUNDS;
-    state.slowness = (state.slowness + SLOWNESS_WEIGHT * (factor - state.slowness)).clamp(min, max);
+    state.slowness = (state.slowness + SLOWNESS_WEIGHT * (ratio - state.slowness)).clamp(min, max);
 }
--- a/crates/core/src/routing/pool/engine.rs
+++ b/crates/core/src/routing/pool/engine.rs
@@ -50,7 +50,7 @@
     /// Models that the engine has loaded.
     pub models: Vec<String>,
     /// Remaining time for which the engine is slower than usual after its start.
-    pub warming: Duration,
+    pub warmup_remaining: Duration,
     /// Whether the engine runs on a spot instance, which the platform may reclaim.
     pub spot: bool,
 }
@@ -76,7 +76,7 @@
     pub(super) rank: usize,
     pub(super) prompt_tokens: f64,
     pub(super) memory_tokens: f64,
-    pub(super) moving_tokens: f64,
+    pub(super) transfer_tokens: f64,
     pub(super) sent_at: MonotonicTime,
     /// How the engine obtains the KV cache for the output; `None` for a dispatch that only prefills.
     pub(super) kv_source: Option<KvCacheSource>,
@@ -87,7 +87,7 @@
     /// Maximum tolerated gap between output events; `None` if the route sets none, the dispatch only prefills, or a gap
     /// has already exceeded it.
     pub(super) max_event_gap: Option<Duration>,
-    /// Expected number of output tokens.
+    /// Expected length of the output.
     pub(super) output_tokens: u32,
     /// Time of the first output event.
     pub(super) first_event_at: Option<MonotonicTime>,
@@ -105,7 +105,7 @@
     /// Tokens of KV cache that these requests occupy or will occupy.
     pub memory_tokens: f64,
     /// Tokens of KV cache being transferred to the engine, which receives one transfer at a time.
-    pub moving_tokens: f64,
+    pub transfer_tokens: f64,
     /// Number of requests without remaining prefill.
     pub outputs: f64,
     /// Tokens of KV cache that `outputs` occupy or will occupy.
@@ -132,17 +132,17 @@
         self.prompt_tokens.iter().sum()
     }
 
-    fn add_peer(&mut self, work: &PeerLoad) {
-        for (sum, tokens) in self.prompt_tokens.iter_mut().zip(work.prompt_tokens) {
+    fn add_peer(&mut self, report: &PeerLoad) {
+        for (sum, tokens) in self.prompt_tokens.iter_mut().zip(report.prompt_tokens) {
             *sum += f64::from(tokens);
         }
-        self.requests += f64::from(work.requests);
-        self.memory_tokens += f64::from(work.memory_tokens);
-        self.moving_tokens += f64::from(work.moving_tokens);
-        self.outputs += f64::from(work.outputs);
-        self.output_tokens += f64::from(work.output_tokens);
-        let millis = u64::from(work.min_event_gap_limit_millis);
-        self.streams += f64::from(work.streams);
+        self.requests += f64::from(report.requests);
+        self.memory_tokens += f64::from(report.memory_tokens);
+        self.transfer_tokens += f64::from(report.transfer_tokens);
+        self.outputs += f64::from(report.outputs);
+        self.output_tokens += f64::from(report.output_tokens);
+        let millis = u64::from(report.min_event_gap_limit_millis);
+        self.streams += f64::from(report.streams);
         self.add_event_gap_limit((millis > 0).then_some(Duration::from_millis(millis)));
     }
 
@@ -154,7 +154,7 @@
         self.prompt_tokens[work.rank] += work.prompt_tokens;
         self.requests += 1.0;
         self.memory_tokens += work.memory_tokens;
-        self.moving_tokens += work.moving_tokens;
+        self.transfer_tokens += work.transfer_tokens;
         if work.prompt_tokens == 0.0 {
             self.outputs += 1.0;
             self.output_tokens += work.memory_tokens;
@@ -169,7 +169,7 @@
             prompt_tokens: self.prompt_tokens.map(|tokens| tokens as u32),
             requests: self.requests as u32,
             memory_tokens: self.memory_tokens as u32,
-            moving_tokens: self.moving_tokens as u32,
+            transfer_tokens: self.transfer_tokens as u32,
             outputs: self.outputs as u32,
             output_tokens: self.output_tokens as u32,
             streams: self.streams as u32,
@@ -238,13 +238,13 @@
     /// End of the last backoff that the engine requested from this node; traffic resumes gradually after it.
     pub(super) backoff_end: Option<MonotonicTime>,
     pub(super) health: Health,
-    pub(super) breaks: FailureRate,
+    pub(super) failure_rate: FailureRate,
     pub(super) in_flight: BTreeMap<u64, InFlightWork>,
     pub(super) reported_load: Option<(ReportedLoad, MonotonicTime)>,
     /// Estimate of the rate limit that the engine reports in its responses.
     pub(super) limit: LimitEstimate,
     pub(super) peers: BTreeMap<NodeId, (PeerLoad, MonotonicTime)>,
-    /// Ratio of actual to expected response time, at least one; used while `pace` is not in use.
+    /// Moving average of the ratio of actual to expected prefill time, at least one; used while `pace` is not in use.
     pub(super) slowness: f64,
     /// Recent peak of the prompt tokens waiting for prefill.
     pub(super) recent_prefill: RecentPrefill,
@@ -275,7 +275,7 @@
             cordon: EngineCordon::default(),
             backoff_end: None,
             health: Health::default(),
-            breaks: FailureRate::default(),
+            failure_rate: FailureRate::default(),
             in_flight: BTreeMap::new(),
             reported_load: None,
             limit: LimitEstimate::default(),
@@ -302,12 +302,13 @@
         sum
     }
 
-    /// Estimated load from requests of all nodes: own requests plus unexpired reports of peers and of the engine.
+    /// Estimated load from requests of all nodes: own load plus unexpired reports of peers. The number of requests is at
+    /// least that in the engine's own unexpired report.
     pub fn load(&self, now: MonotonicTime) -> EngineLoad {
         let mut sum = self.own_load();
-        for (work, at) in self.peers.values() {
+        for (report, at) in self.peers.values() {
             if now.since(*at) < PEER_REPORT_TTL {
-                sum.add_peer(work);
+                sum.add_peer(report);
             }
         }
         if let Some((report, at)) = self.reported_load
@@ -332,11 +333,11 @@
     /// The pace scales the token count but not the fixed part of the estimate. The fixed part is mostly queueing
     /// behind requests not yet reported by peers, which is no longer at a slow engine; scaling it as well would favor
     /// queues at fast engines over idle engines.
-    pub fn prefill_seconds(&self, line: &PrefillSpeed, tokens: f64, now: MonotonicTime) -> f64 {
+    pub fn prefill_seconds(&self, speed: &PrefillSpeed, tokens: f64, now: MonotonicTime) -> f64 {
         if self.pace.in_use() {
-            line.seconds(tokens * self.pace.factor(now))
+            speed.seconds(tokens * self.pace.factor(now))
         } else {
-            self.slowness * line.seconds(tokens)
+            self.slowness * speed.seconds(tokens)
         }
     }
 
--- a/crates/core/src/routing/pool/peer_reports.rs
+++ b/crates/core/src/routing/pool/peer_reports.rs
@@ -24,7 +24,7 @@
     /// Tokens of KV cache that the requests hold or will hold.
     pub memory_tokens: u32,
     /// Tokens of KV cache that are on their way there.
-    pub moving_tokens: u32,
+    pub transfer_tokens: u32,
     /// Requests of which no prompt is left to read.
     pub outputs: u32,
     /// Tokens of KV cache of those requests.
--- a/crates/core/src/routing/pool/peers.rs
+++ b/crates/core/src/routing/pool/peers.rs
@@ -26,21 +26,21 @@
     ) {
         let reported: Vec<SubjectHandle> = loads.iter().map(|(handle, _)| *handle).collect();
         let before = self.engines_reported_by.entry(peer.clone()).or_default();
-        let (dropped, kept): (Vec<_>, Vec<_>) = before
+        let (dropped, retained): (Vec<_>, Vec<_>) = before
             .iter()
             .filter(|handle| !reported.contains(handle))
             .partition(|handle| slice.includes(**handle));
-        *before = kept.into_iter().chain(reported).collect();
+        *before = retained.into_iter().chain(reported).collect();
         for handle in dropped {
             if let Some(state) = self.state_of(handle) {
                 state.peers.remove(peer);
             }
         }
-        for (handle, work) in loads {
+        for (handle, load) in loads {
             // This node's next request may be sent to an engine that a peer uses, so it has to know the engine's load.
             self.bring_into_use(*handle);
             if let Some(state) = self.state_of(*handle) {
-                state.peers.insert(peer.clone(), (*work, now));
+                state.peers.insert(peer.clone(), (*load, now));
                 state
                     .recent_prefill
                     .observe(state.load(now).all_prompt_tokens(), now);
@@ -97,14 +97,14 @@
             state.engine.pool == *pool && state.is_active() && state.cordon_allows(now, false)
         });
         let views = engines.map(|state| {
-            let work = state.load(now);
+            let load = state.load(now);
             PoolEngineView {
                 engine: state.engine.id.clone(),
                 zone: state.engine.zone.clone(),
                 spot: state.engine.spot,
                 stage: state.ordered_stage(now).unwrap_or(state.engine.stage),
-                requests: work.outputs,
-                memory_tokens: work.output_tokens,
+                requests: load.outputs,
+                memory_tokens: load.output_tokens,
                 places: f64::from(state.engine.places),
                 capacity_tokens: state.prefixes.capacity_tokens(),
                 part: self.share_within_limit(state, now),
@@ -147,14 +147,14 @@
     }
 
     /// Applies the list of prefix blocks that an engine reports, and queues it for peers.
-    pub fn on_prefix_list(&mut self, engine: &EngineId, held: &[PrefixBlock], now: MonotonicTime) {
+    pub fn on_prefix_list(&mut self, engine: &EngineId, prefixes: &[PrefixBlock], now: MonotonicTime) {
         let Some(state) = self.engines.get_mut(engine) else {
             return;
         };
-        state.prefixes.record_prefill(held, now);
-        let updates = held.chunks(MAX_BLOCKS_PER_UPDATE).map(|prefixes| PrefixUpdate {
+        state.prefixes.record_prefill(prefixes, now);
+        let updates = prefixes.chunks(MAX_BLOCKS_PER_UPDATE).map(|chunk| PrefixUpdate {
             engine: state.handle,
-            prefixes: prefixes.to_vec(),
+            prefixes: chunk.to_vec(),
             just_answered: false,
         });
         self.prefix_updates.extend(updates);
--- a/crates/core/src/routing/pool/pool_speeds.rs
+++ b/crates/core/src/routing/pool/pool_speeds.rs
@@ -45,7 +45,7 @@
     /// Gaps between output events at engines with concurrent prefill.
     pub pauses: PrefillPauses,
     /// Time between two events of an output at an engine of average speed without concurrent prefill.
-    pub pace: EventInterval,
+    pub event_interval: EventInterval,
     /// Share of requests that could not meet their deadline.
     pub rejection_rate: RejectionRate,
 }
@@ -62,7 +62,7 @@
             queue_wait_seconds: INITIAL_QUEUE_WAIT_SECONDS,
             estimate_error: EstimateError::default(),
             pauses: PrefillPauses::default(),
-            pace: EventInterval::default(),
+            event_interval: EventInterval::default(),
             rejection_rate: RejectionRate::default(),
         }
     }
--- a/crates/core/src/routing/pool/risk.rs
+++ b/crates/core/src/routing/pool/risk.rs
@@ -61,6 +61,6 @@
         } else {
             0.0
         };
-        self.breaks.at(now).max(listed)
+        self.failure_rate.at(now).max(listed)
     }
 }
--- a/crates/core/src/routing/pool/silences.rs
+++ b/crates/core/src/routing/pool/silences.rs
@@ -48,7 +48,7 @@
             return;
         };
         let pause = state.health.on_unresponsive(now);
-        state.breaks.record_failure(now);
+        state.failure_rate.record_failure(now);
         let (zone, engine) = (state.engine.zone.clone(), state.handle);
         let from = ticket.sender_zone();
         if pause.is_some() {
--- a/crates/core/src/routing/pool/speed.rs
+++ b/crates/core/src/routing/pool/speed.rs
@@ -37,11 +37,11 @@
 pub struct PrefillSpeed {
     fixed_seconds: f64,
     seconds_per_token: f64,
-    weight: f64,
-    tokens: f64,
-    seconds: f64,
-    tokens_squared: f64,
-    tokens_seconds: f64,
+    weight_sum: f64,
+    tokens_sum: f64,
+    seconds_sum: f64,
+    tokens_squared_sum: f64,
+    tokens_seconds_sum: f64,
     observations: u32,
 }
 
@@ -53,11 +53,11 @@
         Self {
             fixed_seconds: INITIAL_FIXED_SECONDS,
             seconds_per_token,
-            weight: INITIAL_WEIGHT,
-            tokens: INITIAL_WEIGHT * INITIAL_TOKENS,
-            seconds: INITIAL_WEIGHT * seconds,
-            tokens_squared: INITIAL_WEIGHT * INITIAL_TOKENS * INITIAL_TOKENS,
-            tokens_seconds: INITIAL_WEIGHT * INITIAL_TOKENS * seconds,
+            weight_sum: INITIAL_WEIGHT,
+            tokens_sum: INITIAL_WEIGHT * INITIAL_TOKENS,
+            seconds_sum: INITIAL_WEIGHT * seconds,
+            tokens_squared_sum: INITIAL_WEIGHT * INITIAL_TOKENS * INITIAL_TOKENS,
+            tokens_seconds_sum: INITIAL_WEIGHT * INITIAL_TOKENS * seconds,
             observations: 0,
         }
     }
@@ -89,23 +89,23 @@
             .as_secs_f64()
             .clamp(expected / MAX_OUTLIER_RATIO, expected * MAX_OUTLIER_RATIO);
         self.observations = self.observations.saturating_add(1);
-        self.weight = self.weight * DECAY + 1.0;
-        self.tokens = self.tokens * DECAY + tokens;
-        self.seconds = self.seconds * DECAY + seconds;
-        self.tokens_squared = self.tokens_squared * DECAY + tokens * tokens;
-        self.tokens_seconds = self.tokens_seconds * DECAY + tokens * seconds;
+        self.weight_sum = self.weight_sum * DECAY + 1.0;
+        self.tokens_sum = self.tokens_sum * DECAY + tokens;
+        self.seconds_sum = self.seconds_sum * DECAY + seconds;
+        self.tokens_squared_sum = self.tokens_squared_sum * DECAY + tokens * tokens;
+        self.tokens_seconds_sum = self.tokens_seconds_sum * DECAY + tokens * seconds;
         self.fit();
     }
 
     fn fit(&mut self) {
-        let mean_tokens = self.tokens / self.weight;
-        let mean_seconds = self.seconds / self.weight;
+        let mean_tokens = self.tokens_sum / self.weight_sum;
+        let mean_seconds = self.seconds_sum / self.weight_sum;
         if mean_tokens <= 0.0 {
             return;
         }
-        let variance = (self.tokens_squared / self.weight - mean_tokens * mean_tokens).max(0.0);
+        let variance = (self.tokens_squared_sum / self.weight_sum - mean_tokens * mean_tokens).max(0.0);
         if variance.sqrt() >= MIN_RELATIVE_DEVIATION * mean_tokens {
-            let covariance = self.tokens_seconds / self.weight - mean_tokens * mean_seconds;
+            let covariance = self.tokens_seconds_sum / self.weight_sum - mean_tokens * mean_seconds;
             self.seconds_per_token = covariance / variance;
         } else {
             self.seconds_per_token = (mean_seconds - self.fixed_seconds) / mean_tokens;
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -159,7 +159,7 @@
     }
 
     /// Records that the connection to an engine broke or could not be established.
-    pub fn on_broken(&mut self, engine: &EngineId, ticket: &DispatchTicket, now: MonotonicTime) {
+    pub fn on_connection_failed(&mut self, engine: &EngineId, ticket: &DispatchTicket, now: MonotonicTime) {
         if let Some(view) = self.engines.get_mut(engine) {
             view.record_end(ticket.number);
             view.health.on_connection_failure(now);
--- a/crates/core/tests/engine_pace.rs
+++ b/crates/core/tests/engine_pace.rs
@@ -77,7 +77,7 @@
     let begun = at + millis(10);
     router.on_output_started(&ticket, &[], begun);
     router.on_output_ended(&ticket, begun + took);
-    router.on_answered(&ticket);
+    router.on_completed(&ticket);
 }
 
 fn query<'q>(
@@ -208,7 +208,7 @@
             router.on_output_started(&ticket, &[], now);
             router.on_reported_load(&EngineId::new(engine), told(Some(percent)), now + millis(took));
             router.on_output_ended(&ticket, now + millis(took));
-            router.on_answered(&ticket);
+            router.on_completed(&ticket);
         }
     }
     for engine in ["d1", "d2"] {
--- a/crates/core/tests/engine_signals.rs
+++ b/crates/core/tests/engine_signals.rs
@@ -125,7 +125,7 @@
     let mut router = router_with(weights, 64, None, &engines);
     let draining = router.in_use().pop().expect("one is in use");
     router.on_draining(handle(&draining));
-    let available = router.taking_work(NOW);
+    let available = router.engines_taking_work(NOW);
     assert_eq!(available, 1);
     assert_eq!(router.reserve().count(), 0);
 }
--- a/crates/core/tests/engine_troubles.rs
+++ b/crates/core/tests/engine_troubles.rs
@@ -98,7 +98,7 @@
     let asked = Asked::new(false);
     let ticket = router.on_output_sent(&EngineId::new(id), &asked.query(0), KvCacheSource::Prefill, now);
     router.on_output_started(&ticket, &asked.prefixes, now);
-    router.on_answered(&ticket);
+    router.on_completed(&ticket);
 }
 
 mod silence {
@@ -220,7 +220,7 @@
         }
         let id = EngineId::new("d1");
         let ticket = router.on_output_sent(&id, &asked.query(0), KvCacheSource::Prefill, NOW);
-        router.on_broken(&ticket, NOW);
+        router.on_connection_failed(&ticket, NOW);
         answer(&mut router, "d1", after(600));
         router
     }
--- a/crates/core/tests/forwarding.rs
+++ b/crates/core/tests/forwarding.rs
@@ -166,7 +166,7 @@
         leaving,
         stage: EngineStage::Whole,
         models: Vec::new(),
-        warming: Duration::ZERO,
+        warmup_remaining: Duration::ZERO,
         spot: false,
     }
 }
--- a/crates/core/tests/list_news.rs
+++ b/crates/core/tests/list_news.rs
@@ -22,7 +22,7 @@
         leaving,
         stage: EngineStage::Whole,
         models: Vec::new(),
-        warming: Duration::ZERO,
+        warmup_remaining: Duration::ZERO,
         spot: false,
     })
 }
--- a/crates/core/tests/pace_world/mod.rs
+++ b/crates/core/tests/pace_world/mod.rs
@@ -208,7 +208,7 @@
             } => {
                 let router = &mut self.routers[request.placer];
                 router.on_output_ended(&ticket, now);
-                router.on_answered(&ticket);
+                router.on_completed(&ticket);
                 self.result.requests += 1;
                 self.result.in_time += usize::from(in_time);
             }
--- a/crates/core/tests/pauses_world/mod.rs
+++ b/crates/core/tests/pauses_world/mod.rs
@@ -373,7 +373,7 @@
     fn on_ended(&mut self, number: usize, index: usize) {
         self.engines[index].outputs.retain(|running| *running != number);
         if let Some(ticket) = self.requests[number].ticket.take() {
-            self.ask(number, |router, _, _| router.on_answered(&ticket));
+            self.ask(number, |router, _, _| router.on_completed(&ticket));
         }
         let request = &self.requests[number];
         self.streams.ended += 1;
--- a/crates/core/tests/pool_router.rs
+++ b/crates/core/tests/pool_router.rs
@@ -137,7 +137,7 @@
         prompt_tokens: [0, 200_000, 0, 0],
         requests: 10,
         memory_tokens: 0,
-        moving_tokens: 0,
+        transfer_tokens: 0,
         outputs: 0,
         output_tokens: 0,
         streams: 0,
@@ -176,7 +176,7 @@
         prompt_tokens: [0, 0, 0, 500_000],
         requests: 10,
         memory_tokens: 0,
-        moving_tokens: 0,
+        transfer_tokens: 0,
         outputs: 0,
         output_tokens: 0,
         streams: 0,
@@ -244,7 +244,7 @@
     ]);
     let asked = Asked::new(1);
     let ticket = router.on_output_sent(&EngineId::new("d1"), &asked.query(), KvCacheSource::Transfer, NOW);
-    router.on_broken(&ticket, NOW);
+    router.on_connection_failed(&ticket, NOW);
     assert_eq!(split(router.choose(&asked.query(), NOW)).1, "d2");
     let ticket = router.on_output_sent(&EngineId::new("d2"), &asked.query(), KvCacheSource::Transfer, NOW);
     router.on_refused(&ticket, EngineRefusalReason::QueueFull, NOW);
@@ -314,7 +314,7 @@
         prompt_tokens: [100, 0, 0, 0],
         requests: 2,
         memory_tokens: 50,
-        moving_tokens: 10,
+        transfer_tokens: 10,
         outputs: 0,
         output_tokens: 0,
         streams: 0,
--- a/crates/core/tests/pool_support/mod.rs
+++ b/crates/core/tests/pool_support/mod.rs
@@ -22,7 +22,7 @@
         leaving: false,
         stage,
         models: vec!["m".to_owned()],
-        warming: Duration::ZERO,
+        warmup_remaining: Duration::ZERO,
         spot: false,
     }
 }
--- a/crates/core/tests/rate_limit_choice.rs
+++ b/crates/core/tests/rate_limit_choice.rs
@@ -160,7 +160,7 @@
     for _ in 0..800 {
         now = now + Duration::from_micros(62_500);
         let ticket = router.on_output_sent(&EngineId::new("b"), &asked.query(0), KvCacheSource::Prefill, now);
-        router.on_answered(&ticket);
+        router.on_completed(&ticket);
     }
     let parts = part(&router, now);
     assert!((parts[0] - 0.25).abs() < 0.02, "{parts:?}");
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -164,7 +164,7 @@
     }
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let ticket = router.on_dispatched(&engine(0), &query(&["a"]), now());
-    router.on_broken(&engine(0), &ticket, now());
+    router.on_connection_failed(&engine(0), &ticket, now());
     let ticket = router.on_dispatched(&engine(1), &query(&["a"]), now());
     router.on_refused(&engine(1), &ticket, EngineRefusalReason::Draining, now());
     let route = router.choose(&query(&["a"]), now(), &mut random);
--- a/crates/gateway/src/course/dispatch_account.rs
+++ b/crates/gateway/src/course/dispatch_account.rs
@@ -82,7 +82,7 @@
             Event::NotSent { .. } | Event::Ambiguous { .. } | Event::Disconnected { .. } => {
                 lock(&context.fleet)
                     .router
-                    .on_broken(&open.engine, &open.ticket, now);
+                    .on_connection_failed(&open.engine, &open.ticket, now);
                 self.open = None;
             }
             Event::DispatchTooLate { .. } => self.abandon(context),
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -134,7 +134,7 @@
             EngineStage::Decode
         },
         models: vec![traffic::MODEL.to_owned()],
-        warming: Duration::ZERO,
+        warmup_remaining: Duration::ZERO,
         spot: false,
     }
 }
--- a/crates/lab/src/fleet/traffic.rs
+++ b/crates/lab/src/fleet/traffic.rs
@@ -144,7 +144,7 @@
 fn end(router: &mut PoolRouter, ending: Ending, now: MonotonicTime) {
     match ending {
         Ending::Read(ticket, prompt) => router.on_prompt_prefilled(&ticket, &prompt.prefixes(), now),
-        Ending::Answered(ticket) => router.on_answered(&ticket),
+        Ending::Answered(ticket) => router.on_completed(&ticket),
     }
 }
 
--- a/crates/lab/src/simulate/dispatch.rs
+++ b/crates/lab/src/simulate/dispatch.rs
@@ -102,7 +102,7 @@
         let router = &mut self.gateways[flight.gateway].router;
         let ticket = router.on_dispatched(engine, &query, self.now);
         if !self.engines[index].alive {
-            router.on_broken(engine, &ticket, self.now);
+            router.on_connection_failed(engine, &ticket, self.now);
             flight.query.excluded.push(engine.clone());
             return false;
         }
--- a/crates/lab/src/simulate/gateways.rs
+++ b/crates/lab/src/simulate/gateways.rs
@@ -271,7 +271,7 @@
         if let Some(running) = flight.running.take() {
             let engine = &self.engines[running.engine].id;
             let router = &mut self.gateways[flight.gateway].router;
-            router.on_broken(engine, &running.ticket, self.now);
+            router.on_connection_failed(engine, &running.ticket, self.now);
             flight.query.excluded.push(engine.clone());
         }
         self.to_dispatch.push_back(request);
--- a/crates/node/src/course/accounting.rs
+++ b/crates/node/src/course/accounting.rs
@@ -111,7 +111,7 @@
             Account::Own(ticket) => {
                 let mut router = lock(&self.context.router);
                 router.on_output_ended(&ticket, now);
-                router.on_answered(&ticket);
+                router.on_completed(&ticket);
                 drop(router);
                 belief_log::tell_changes(self.context);
                 self.context.peers.note_change();
@@ -152,7 +152,9 @@
     /// The connection broke or was refused.
     pub(super) fn count_broken(&self, account: &Account) {
         match account {
-            Account::Own(ticket) => lock(&self.context.router).on_broken(ticket, self.context.now()),
+            Account::Own(ticket) => {
+                lock(&self.context.router).on_connection_failed(ticket, self.context.now())
+            }
             Account::Placer { at, .. } => placing::tell(self.context, at, DispatchProgress::ConnectionFailed),
         }
     }
--- a/crates/node/src/course/pauses.rs
+++ b/crates/node/src/course/pauses.rs
@@ -98,7 +98,7 @@
             since_sent_millis = now.since(exchange.sent_at).as_millis() as u64,
             outputs_beside:? = beside.map(|beside| beside.outputs),
             prompt_tokens_beside:? = beside.map(|beside| beside.prompt_tokens),
-            moving_tokens_beside:? = beside.map(|beside| beside.moving_tokens),
+            moving_tokens_beside:? = beside.map(|beside| beside.transfer_tokens),
             work_factor_percent:? = beside.map(|beside| beside.work_factor_percent),
             told_work_time_percent:? = told.and_then(|told| told.work_time_percent);
             "paused_too_long"
--- a/crates/node/src/placing/answering.rs
+++ b/crates/node/src/placing/answering.rs
@@ -92,7 +92,7 @@
         pause_percent = u32::from(hundredths),
         outputs_beside = beside.outputs,
         prompt_tokens_beside = beside.prompt_tokens,
-        moving_tokens_beside = beside.moving_tokens,
+        moving_tokens_beside = beside.transfer_tokens,
         work_factor_percent = beside.work_factor_percent;
         "pause_believed"
     );
--- a/crates/protocol/tests/node_formats.rs
+++ b/crates/protocol/tests/node_formats.rs
@@ -35,7 +35,7 @@
         leaving: false,
         stage: EngineStage::Decode,
         models: vec!["m".to_owned()],
-        warming: Duration::from_millis(5),
+        warmup_remaining: Duration::from_millis(5),
         spot: true,
     }
 }
