--- a/crates/core/tests/engine_starts.rs
+++ b/crates/core/tests/engine_starts.rs
@@ -1,5 +1,4 @@
-//! Engines that start again under their name: nothing of an earlier start reaches a later one, in whatever order words
-//! come.
+//! Restarts of engines under the same name: delayed messages about an earlier start must not affect a later one.
 
 #![allow(clippy::unwrap_used)]
 
@@ -26,7 +25,7 @@
 
 const NAME: &str = "engine";
 
-/// Nodes of a fleet in which some choose engines for all.
+/// Number of nodes of the fleet.
 const NODES: usize = 66;
 
 fn at(millis: u64) -> MonotonicTime {
@@ -52,7 +51,7 @@
     ListChange::Gone(id(start))
 }
 
-/// As the store tells it: an entry that is removed names only the identifier.
+/// Removal of an entry as reported by the store, which names the engine without its start.
 fn gone_by_name() -> ListChange {
     ListChange::Gone(EngineId::new(NAME))
 }
@@ -61,7 +60,7 @@
     ListChange::Unreadable(EngineId::new(NAME))
 }
 
-/// A node that chooses engines.
+/// A node that places requests.
 struct Node {
     listing: EngineListing,
     router: PoolRouter,
@@ -75,16 +74,16 @@
             router: router_with(PoolWeights::default(), 8, Some(0.001), &[]),
             table: PlacementTable::default(),
         };
-        node.hear(1, listed(1), false, at(0));
+        node.apply_change(1, listed(1), false, at(0));
         node
     }
 
-    /// Takes a change as nodes do; `doubtful` where the store was in trouble.
-    fn hear(&mut self, version: u64, change: ListChange, doubtful: bool, now: MonotonicTime) {
+    /// Applies a change like a node does; `is_doubtful` if the store had errors.
+    fn apply_change(&mut self, version: u64, change: ListChange, is_doubtful: bool, now: MonotonicTime) {
         for change in self.listing.apply(vec![(version, change)], version) {
             match change {
                 ListChange::Listed(engine) => self.router.on_engine_listed(engine),
-                ListChange::Gone(engine) => self.router.on_engine_gone(&engine, doubtful, now),
+                ListChange::Gone(engine) => self.router.on_engine_gone(&engine, is_doubtful, now),
                 ListChange::Unreadable(entry) => {
                     self.router.on_entry_unreadable(&entry, now);
                 }
@@ -97,14 +96,14 @@
     }
 
     fn answer(&mut self, number: u64, step: u32, now: MonotonicTime) -> Placement {
-        let question = PlacementQuery {
+        let query = PlacementQuery {
             key: key(number),
             step,
             request: request(),
             kind: PlacementKind::Retry { excluded: Vec::new() },
         };
         let settings = PoolAdmission::default();
-        let answer = self.table.answer(&mut self.router, &question, &settings, now);
+        let answer = self.table.answer(&mut self.router, &query, &settings, now);
         answer.unwrap().placement
     }
 
@@ -154,7 +153,7 @@
     SubjectHandle::of_engine(&id(start))
 }
 
-fn news(start: u64) -> PrefixNews {
+fn prefix_update(start: u64) -> PrefixNews {
     PrefixNews {
         engine: handle(start),
         prefixes: request().prompt.prefixes(),
@@ -163,12 +162,12 @@
 }
 
 #[test]
-fn a_later_start_holds_nothing_of_what_the_earlier_one_was_believed_to_hold() {
+fn a_later_start_does_not_inherit_the_cached_prefixes_of_an_earlier_one() {
     let mut node = Node::new();
-    node.router.on_prefix_updates(&[news(1)], at(10));
+    node.router.on_prefix_updates(&[prefix_update(1)], at(10));
     let prefixes = request().prompt.prefixes();
     assert_eq!(node.state(1).prefixes.held_tokens(&prefixes), 7_000);
-    node.hear(2, listed(2), false, at(100));
+    node.apply_change(2, listed(2), false, at(100));
     assert_eq!(node.state(2).prefixes.held_tokens(&prefixes), 0);
     let Placement::One(chosen) = node.answer(1, 1, at(110)) else {
         panic!("one engine");
@@ -180,15 +179,15 @@
 }
 
 #[test]
-fn the_earlier_start_takes_no_work_at_once_though_its_end_is_in_doubt() {
+fn a_later_start_replaces_an_earlier_one_whose_end_is_in_doubt() {
     let mut node = Node::new();
-    node.hear(2, gone_by_name(), true, at(100));
+    node.apply_change(2, gone_by_name(), true, at(100));
     assert_eq!(
         node.router.taking_work(at(110)),
         1,
-        "only its entry may have lapsed"
+        "the entry may only have expired"
     );
-    node.hear(3, listed(2), false, at(120));
+    node.apply_change(3, listed(2), false, at(120));
     assert_eq!(node.router.taking_work(at(120)), 1);
     assert_eq!(chosen(node.answer(1, 1, at(121))), Some(handle(2)));
     assert!(node.state(1).has_later_start() && !node.state(1).stays());
@@ -196,54 +195,54 @@
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_is_out_of_use_at_once_though_the_store_was_in_trouble() {
+fn an_engine_with_an_unreadable_entry_gets_no_work_even_after_store_errors() {
     let mut node = Node::new();
-    node.hear(2, gone_by_name(), true, at(100));
-    node.hear(3, unreadable(), true, at(110));
+    node.apply_change(2, gone_by_name(), true, at(100));
+    node.apply_change(3, unreadable(), true, at(110));
     assert_eq!(node.router.taking_work(at(110)), 0);
     assert_eq!(node.answer(1, 1, at(111)), Placement::Nowhere);
     let mut node = Node::new();
-    node.hear(2, unreadable(), true, at(100));
+    node.apply_change(2, unreadable(), true, at(100));
     assert_eq!(node.router.taking_work(at(100)), 0);
-    node.hear(3, listed(1), false, at(200));
+    node.apply_change(3, listed(1), false, at(200));
     assert_eq!(node.router.taking_work(at(200)), 1);
 }
 
 #[test]
-fn an_engine_that_ended_without_a_word_is_told_from_one_that_said_that_it_leaves() {
+fn an_unannounced_replacement_is_distinguished_from_an_announced_shutdown() {
     let mut node = Node::new();
-    node.hear(2, listed(2), false, at(100));
+    node.apply_change(2, listed(2), false, at(100));
     assert!(node.state(1).was_replaced_unannounced());
     let mut node = Node::new();
     let leaving = PoolEngine {
         leaving: true,
         ..engine(1)
     };
-    node.hear(2, ListChange::Listed(leaving), false, at(50));
-    node.hear(3, listed(2), false, at(100));
+    node.apply_change(2, ListChange::Listed(leaving), false, at(50));
+    node.apply_change(3, listed(2), false, at(100));
     assert!(!node.state(1).was_replaced_unannounced());
 }
 
-/// Late words of the earlier start, at each node of a fleet: nothing of them touches the later one.
+/// Delayed load, prefix, order and listing updates about an earlier start must not affect the later one at any node.
 #[test]
-fn late_words_of_the_earlier_start_touch_nothing_of_the_later_one_at_66_nodes() {
+fn delayed_updates_about_an_earlier_start_do_not_affect_the_later_one_at_66_nodes() {
     let mut nodes: Vec<Node> = (0..NODES).map(|_| Node::new()).collect();
-    let work = PeerWork {
+    let load = PeerWork {
         prompt_tokens: [50_000; 4],
         requests: 8,
         ..PeerWork::default()
     };
     let peer = NodeId::new("peer");
     for node in &mut nodes {
-        // Before the restart every word counts.
+        // Before the restart, updates about the first start apply.
         assert_eq!(chosen(node.answer(1, 1, at(10))), Some(handle(1)));
         assert_eq!(chosen(node.answer(2, 1, at(11))), Some(handle(1)));
         node.router
-            .on_peer_load(&peer, WorkSlice::ALL, &[(handle(1), work)], at(12));
+            .on_peer_load(&peer, WorkSlice::ALL, &[(handle(1), load)], at(12));
         assert_eq!(node.state(1).load(at(13)).requests, 10.0);
-        node.hear(2, listed(2), false, at(100));
+        node.apply_change(2, listed(2), false, at(100));
     }
-    let told = ReportedLoad {
+    let reported_load = ReportedLoad {
         running: 8,
         waiting: 30,
         places: 8,
@@ -253,53 +252,61 @@
         node.progress(
             1,
             DispatchProgress::Started {
-                reported_load: Some(told),
+                reported_load: Some(reported_load),
             },
             at(110),
         );
         node.progress(1, DispatchProgress::ConnectionFailed, at(111));
         node.progress(2, DispatchProgress::Answered { pauses: vec![400] }, at(112));
         node.router
-            .on_peer_load(&peer, WorkSlice::ALL, &[(handle(1), work)], at(113));
-        node.router.on_prefix_updates(&[news(1)], at(114));
+            .on_peer_load(&peer, WorkSlice::ALL, &[(handle(1), load)], at(113));
+        node.router.on_prefix_updates(&[prefix_update(1)], at(114));
         node.router
             .on_ordered(&[(handle(1), EngineStage::Prefill)], at(115));
-        node.hear(3, listed(1), false, at(116));
-        node.hear(4, gone(1), false, at(117));
+        node.apply_change(3, listed(1), false, at(116));
+        node.apply_change(4, gone(1), false, at(117));
         let now = at(118);
         let state = node.state(2);
-        assert_eq!(state.load(now).requests, 0.0, "work, own and told");
-        assert!(state.prefixes.is_empty(), "news");
-        assert!(!state.answered_recently(now), "liveness");
+        assert_eq!(
+            state.load(now).requests,
+            0.0,
+            "load sent by this node and reported by peers"
+        );
+        assert!(state.prefixes.is_empty(), "prefix updates");
+        assert!(!state.answered_recently(now), "recent answers");
         assert_eq!(state.ordered_stage(now), None, "orders");
         assert_eq!(state.work_factor(now), 1.0);
-        assert_eq!(node.router.taking_work(now), 1, "health");
-        assert_eq!(node.router.own_load(), [], "the earlier one's work has ended");
+        assert_eq!(node.router.taking_work(now), 1, "health state");
+        assert_eq!(
+            node.router.own_load(),
+            [],
+            "requests to the earlier start have ended"
+        );
         assert_eq!(chosen(node.answer(3, 1, now)), Some(handle(2)));
         assert_eq!(node.state(2).load(now).requests, 1.0);
     }
 }
 
 #[test]
-fn words_of_a_start_that_a_node_has_not_heard_of_are_passed_over() {
+fn updates_about_an_unknown_start_are_ignored() {
     let mut node = Node::new();
-    node.router.on_prefix_updates(&[news(2)], at(10));
-    let work = PeerWork {
+    node.router.on_prefix_updates(&[prefix_update(2)], at(10));
+    let load = PeerWork {
         requests: 3,
         ..PeerWork::default()
     };
     let peer = NodeId::new("peer");
     node.router
-        .on_peer_load(&peer, WorkSlice::ALL, &[(handle(2), work)], at(11));
+        .on_peer_load(&peer, WorkSlice::ALL, &[(handle(2), load)], at(11));
     assert_eq!(node.router.engine_named(handle(2)), None);
     assert!(node.state(1).prefixes.is_empty());
     assert_eq!(node.state(1).load(at(12)).requests, 0.0);
 }
 
 #[test]
-fn an_engine_that_came_back_is_charged_again_and_its_third_crash_refuses_the_request() {
+fn crashes_of_three_starts_of_one_engine_quarantine_a_request() {
     let settings = QuarantineSettings::default();
-    let mut register = Quarantine::new(settings);
+    let mut quarantine = Quarantine::new(settings);
     let fingerprint: Fingerprint = "00112233445566778899aabbccddeeff".parse().unwrap();
     let asked = Asked {
         route: RouteId("again".to_owned()),
@@ -309,46 +316,46 @@
     for start in 1..=3 {
         let now = at(4_000 * start);
         assert!(!matches!(
-            register.standing(&fingerprint, now),
+            quarantine.standing(&fingerprint, now),
             Standing::Quarantined { .. }
         ));
         assert!(
-            register
+            quarantine
                 .note_crash(fingerprint, &asked, handle(start), now)
                 .is_some()
         );
         assert!(
-            register
+            quarantine
                 .note_crash(fingerprint, &asked, handle(start), now)
                 .is_none(),
-            "once a start"
+            "each start counts once"
         );
     }
     assert!(matches!(
-        register.standing(&fingerprint, at(12_001)),
+        quarantine.standing(&fingerprint, at(12_001)),
         Standing::Quarantined { .. }
     ));
-    let untold = SubjectHandle::of_engine(&EngineId::new(NAME));
-    let mut register = Quarantine::new(settings);
+    let without_start = SubjectHandle::of_engine(&EngineId::new(NAME));
+    let mut quarantine = Quarantine::new(settings);
     for _ in 0..3 {
-        register.note_crash(fingerprint, &asked, untold, at(1));
+        quarantine.note_crash(fingerprint, &asked, without_start, at(1));
     }
     assert_eq!(
-        register.standing(&fingerprint, at(2)).crashes(),
+        quarantine.standing(&fingerprint, at(2)).crashes(),
         1,
-        "without a start one name counts once"
+        "an engine name without a start counts once"
     );
 }
 
 #[test]
-fn what_operators_cordon_by_its_identifier_stays_cordoned_when_it_starts_again() {
+fn a_cordon_by_engine_name_stays_in_force_after_a_restart() {
     let mut node = Node::new();
     node.router.on_cordons(vec![ActiveCordon {
         target: CordonTarget::Engine(NAME.to_owned()),
         until: at(60_000),
         forced: true,
     }]);
-    node.hear(2, listed(2), false, at(100));
+    node.apply_change(2, listed(2), false, at(100));
     assert!(matches!(
         node.state(2).avoidance_reason(at(110)),
         Some(AvoidanceReason::Cordoned { .. })
@@ -358,11 +365,11 @@
         node.state(1).avoidance_reason(at(111)),
         Some(AvoidanceReason::Gone)
     );
-    let standing: Vec<_> = node
+    let staying: Vec<_> = node
         .router
         .standings()
         .into_iter()
-        .map(|one| one.engine)
+        .map(|standing| standing.engine)
         .collect();
-    assert_eq!(standing, [id(2)], "operators are shown one start");
+    assert_eq!(staying, [id(2)], "only the current start is shown to operators");
 }
--- a/crates/core/tests/path_world/mod.rs
+++ b/crates/core/tests/path_world/mod.rs
@@ -1,5 +1,5 @@
-//! A large fleet in virtual time: placers with their tables and routers, nodes that ask them and wait as they do, and
-//! engines in four zones of which some can't be reached for a while.
+//! Simulation of a large fleet: nodes that ask placers for engines, placers with their tables and routers, and engines
+//! in four zones, some of which are unreachable for a while.
 
 use crate::pool_support::{engine_with, pool, router_with};
 use shelfjunction_core::forwarding::max_wait;
@@ -19,37 +19,37 @@
 
 const ZONES: [&str; 4] = ["zone-a", "zone-b", "zone-c", "zone-d"];
 
-/// Time until an engine has answered, in milliseconds.
+/// Response time of an engine, in milliseconds.
 const ANSWER_MILLIS: u64 = 40;
 
-/// Time until other placers have a word, in milliseconds: up to 20 until it leaves and 2 on the way.
-const WORD_MILLIS: u64 = 22;
+/// Time until a report reaches the other placers, in milliseconds: up to 20 until it is sent and 2 on the network.
+const REPORT_DELAY_MILLIS: u64 = 22;
 
-/// Engines that one request may try.
-const MOST_TRIES: u32 = 4;
+/// Maximum number of engines tried for one request.
+const MAX_TRIES: u32 = 4;
 
-/// What goes wrong.
+/// A simulated fault.
 pub enum Outage {
-    /// Nothing passes between a zone and the others; times in milliseconds.
-    ZoneCut { zone: ZoneId, from: u64, until: u64 },
-    /// Each engine whose number divides by `every` answers nobody.
-    Dark { every: u64, from: u64, until: u64 },
+    /// No traffic between a zone and the others; times in milliseconds.
+    IsolatedZone { zone: ZoneId, from: u64, until: u64 },
+    /// Every engine whose number is a multiple of `every` stops answering; times in milliseconds.
+    UnresponsiveEngines { every: u64, from: u64, until: u64 },
 }
 
-/// What became of one request.
+/// Result of one request.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// When it was asked, in milliseconds.
-    pub asked_at: u64,
-    /// Engines that it waited for in vain.
-    pub silences: u32,
-    /// Engines that took it.
-    pub handed_over: u32,
-    /// Whether it may run on one engine only.
+    /// Arrival time, in milliseconds.
+    pub arrived_at: u64,
+    /// Number of engines that did not answer.
+    pub timeouts: u32,
+    /// Number of engines that answered.
+    pub answers: u32,
+    /// Whether the request must not be repeated at another engine.
     pub single_try: bool,
-    /// Zone of the node that was asked.
+    /// Zone of the node that received the request.
     pub from: ZoneId,
-    /// Zone of the engine that was tried last.
+    /// Zone of the last engine tried.
     pub zone: ZoneId,
 }
 
@@ -59,7 +59,7 @@
     path_changes: usize,
 }
 
-/// A request under way.
+/// A request in progress.
 struct Request {
     outcome: Outcome,
     key: RequestKey,
@@ -70,26 +70,26 @@
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
-    Ask,
-    Silent,
+    Place,
+    TimedOut,
     Answered,
-    /// Placers hear what others told.
-    Hear,
+    /// Placers exchange silence reports.
+    ExchangeReports,
 }
 
-/// The fleet.
+/// The simulated fleet.
 pub struct Fleet {
     nodes: u32,
     engines: BTreeMap<SubjectHandle, (u64, PoolEngine)>,
     placers: Vec<Placer>,
-    /// Whether placers are told that an engine was silent, or only that its connection broke.
-    pub tells_silence: bool,
-    /// Whether placers tell each other of it.
-    pub shares_silence: bool,
+    /// Whether nodes report timeouts to the placers as silences, or as failed connections.
+    pub reports_silences: bool,
+    /// Whether placers share silences with each other.
+    pub shares_silences: bool,
 }
 
 impl Fleet {
-    /// Nodes and engines are spread evenly over four zones, and so are the placers.
+    /// Distributes nodes, engines and placers evenly over four zones.
     pub fn new(nodes: u32, engines: u32, placers: usize) -> Self {
         let engines: Vec<PoolEngine> = (0..engines)
             .map(|number| PoolEngine {
@@ -104,8 +104,8 @@
         };
         Self {
             nodes,
-            tells_silence: true,
-            shares_silence: true,
+            reports_silences: true,
+            shares_silences: true,
             placers: (0..placers).map(placer).collect(),
             engines: engines
                 .iter()
@@ -118,27 +118,27 @@
         }
     }
 
-    /// Changes of belief about paths at all placers.
+    /// Number of path state changes at all placers.
     pub fn path_changes(&self) -> usize {
         self.placers.iter().map(|placer| placer.path_changes).sum()
     }
 
-    /// Plays so many requests a second for so many milliseconds.
-    pub fn play(&mut self, per_second: u32, millis: u64, outage: &Outage) -> Vec<Outcome> {
+    /// Simulates requests at a constant rate and returns the outcome of each.
+    pub fn simulate(&mut self, per_second: u32, millis: u64, outage: &Outage) -> Vec<Outcome> {
         let mut events = BinaryHeap::new();
         let mut requests: Vec<Request> = (0..millis * u64::from(per_second) / 1_000)
             .map(|number| self.request(number, number * 1_000 / u64::from(per_second)))
             .collect();
         for (index, request) in requests.iter().enumerate() {
-            events.push(Reverse((request.outcome.asked_at, index, Step::Ask)));
+            events.push(Reverse((request.outcome.arrived_at, index, Step::Place)));
         }
         while let Some(Reverse((at, index, step))) = events.pop() {
-            if step == Step::Hear {
-                self.hear(at, outage);
+            if step == Step::ExchangeReports {
+                self.exchange_reports(at, outage);
                 continue;
             }
-            if step == Step::Silent && self.shares_silence {
-                events.push(Reverse((at + WORD_MILLIS, index, Step::Hear)));
+            if step == Step::TimedOut && self.shares_silences {
+                events.push(Reverse((at + REPORT_DELAY_MILLIS, index, Step::ExchangeReports)));
             }
             if let Some((next_at, next)) = self.advance(&mut requests[index], step, at, outage) {
                 events.push(Reverse((next_at, index, next)));
@@ -147,10 +147,10 @@
         requests.into_iter().map(|request| request.outcome).collect()
     }
 
-    fn request(&self, number: u64, asked_at: u64) -> Request {
+    fn request(&self, number: u64, arrived_at: u64) -> Request {
         let node = (mix(number) % u64::from(self.nodes)) as usize;
         let from = ZoneId::new(ZONES[node % ZONES.len()]);
-        // The placers of a zone are those whose number has the same remainder; a node that is cut off reaches no other.
+        // A node asks only placers of its own zone, which it reaches even if the zone is isolated.
         let placers = self.placers.len() / ZONES.len();
         let placer = node % ZONES.len() + ZONES.len() * (mix(number + 1) as usize % placers);
         let key = RequestKey {
@@ -159,9 +159,9 @@
         };
         Request {
             outcome: Outcome {
-                asked_at,
-                silences: 0,
-                handed_over: 0,
+                arrived_at,
+                timeouts: 0,
+                answers: 0,
                 single_try: number.is_multiple_of(4),
                 zone: from.clone(),
                 from,
@@ -181,31 +181,31 @@
         outage: &Outage,
     ) -> Option<(u64, Step)> {
         match step {
-            Step::Ask => self.ask(request, at, outage),
-            Step::Silent => {
-                request.outcome.silences += 1;
-                let progress = if self.tells_silence {
+            Step::Place => self.place(request, at, outage),
+            Step::TimedOut => {
+                request.outcome.timeouts += 1;
+                let progress = if self.reports_silences {
                     DispatchProgress::Unresponsive
                 } else {
                     DispatchProgress::ConnectionFailed
                 };
                 self.report(request, progress, at);
-                (request.step < MOST_TRIES).then_some((at, Step::Ask))
+                (request.step < MAX_TRIES).then_some((at, Step::Place))
             }
             Step::Answered => {
-                request.outcome.handed_over += 1;
+                request.outcome.answers += 1;
                 self.report(request, DispatchProgress::Started { reported_load: None }, at);
                 self.report(request, DispatchProgress::Answered { pauses: Vec::new() }, at);
                 None
             }
-            Step::Hear => None,
+            Step::ExchangeReports => None,
         }
     }
 
-    /// Asks the placer and sends the request to the engine that it names, by a new connection.
-    fn ask(&mut self, request: &mut Request, at: u64, outage: &Outage) -> Option<(u64, Step)> {
+    /// Asks the placer for an engine and sends the request there over a new connection.
+    fn place(&mut self, request: &mut Request, at: u64, outage: &Outage) -> Option<(u64, Step)> {
         request.step += 1;
-        let question = PlacementQuery {
+        let query = PlacementQuery {
             key: request.key,
             step: request.step,
             request: RequestSummary {
@@ -226,7 +226,7 @@
         let placer = &mut self.placers[request.placer];
         let now = MonotonicTime::from_millis(at);
         let settings = PoolAdmission::default();
-        let answer = placer.table.answer(&mut placer.router, &question, &settings, now);
+        let answer = placer.table.answer(&mut placer.router, &query, &settings, now);
         let Some(Placement::One(chosen)) = answer.map(|answer| answer.placement) else {
             return None;
         };
@@ -236,20 +236,20 @@
         if outage.reaches(&request.outcome.from, &engine.zone, *number, at) {
             Some((at + ANSWER_MILLIS, Step::Answered))
         } else {
-            Some((at + max_wait::CONNECT.as_millis() as u64, Step::Silent))
+            Some((at + max_wait::CONNECT.as_millis() as u64, Step::TimedOut))
         }
     }
 
-    /// Hands what each placer has to tell to those that it reaches.
-    fn hear(&mut self, at: u64, outage: &Outage) {
+    /// Delivers the silence reports of each placer to the placers that it reaches.
+    fn exchange_reports(&mut self, at: u64, outage: &Outage) {
         let now = MonotonicTime::from_millis(at);
-        for teller in 0..self.placers.len() {
-            let words = self.placers[teller].router.take_silence_reports(usize::MAX, now);
-            let from = ZoneId::new(ZONES[teller % ZONES.len()]);
-            for (hearer, placer) in self.placers.iter_mut().enumerate() {
-                let to = ZoneId::new(ZONES[hearer % ZONES.len()]);
-                if hearer != teller && outage.reaches(&from, &to, 1, at) {
-                    placer.router.on_peer_silence_reports(&words, true, now);
+        for sender in 0..self.placers.len() {
+            let reports = self.placers[sender].router.take_silence_reports(usize::MAX, now);
+            let from = ZoneId::new(ZONES[sender % ZONES.len()]);
+            for (receiver, placer) in self.placers.iter_mut().enumerate() {
+                let to = ZoneId::new(ZONES[receiver % ZONES.len()]);
+                if receiver != sender && outage.reaches(&from, &to, 1, at) {
+                    placer.router.on_peer_silence_reports(&reports, true, now);
                     placer.path_changes += placer.router.take_path_changes().len();
                 }
             }
@@ -272,16 +272,16 @@
 impl Outage {
     fn reaches(&self, from: &ZoneId, to: &ZoneId, engine: u64, at: u64) -> bool {
         match self {
-            Self::ZoneCut {
+            Self::IsolatedZone {
                 zone,
-                from: begin,
+                from: start,
                 until,
-            } => !(*begin..*until).contains(&at) || from == to || (from != zone && to != zone),
-            Self::Dark {
+            } => !(*start..*until).contains(&at) || from == to || (from != zone && to != zone),
+            Self::UnresponsiveEngines {
                 every,
-                from: begin,
+                from: start,
                 until,
-            } => !(*begin..*until).contains(&at) || !engine.is_multiple_of(*every),
+            } => !(*start..*until).contains(&at) || !engine.is_multiple_of(*every),
         }
     }
 }
--- a/crates/core/tests/paths.rs
+++ b/crates/core/tests/paths.rs
@@ -1,4 +1,4 @@
-//! Paths between zones: a zone that is cut off, dark engines beside others that answer, and the return of load.
+//! Failure detection for paths between zones: isolated zones, unresponsive engines in working zones, and recovery.
 
 #![allow(clippy::unwrap_used)]
 
@@ -27,14 +27,14 @@
     SubjectHandle::of_text("engine", &number.to_string())
 }
 
-/// Paths between a and b, and what tests say of them.
-struct Two {
+/// The path between zones a and b.
+struct PathFixture {
     paths: Paths,
     a: ZoneId,
     b: ZoneId,
 }
 
-impl Two {
+impl PathFixture {
     fn new() -> Self {
         Self {
             paths: Paths::default(),
@@ -43,7 +43,7 @@
         }
     }
 
-    fn silent(&mut self, number: u64, sent_at: MonotonicTime, now: MonotonicTime) {
+    fn record_silence(&mut self, number: u64, sent_at: MonotonicTime, now: MonotonicTime) {
         self.paths
             .record_silence(&self.a, &self.b, engine(number), 20, sent_at, now);
     }
@@ -54,7 +54,7 @@
 
     fn suspect(&mut self) {
         for number in 0..3 {
-            self.silent(number, NOW, after(250));
+            self.record_silence(number, NOW, after(250));
         }
     }
 
@@ -68,35 +68,36 @@
     use super::*;
 
     #[test]
-    fn three_silent_engines_without_an_answer_between_make_a_path_suspected_in_both_directions() {
-        let mut two = Two::new();
-        two.silent(1, NOW, after(250));
-        two.silent(1, after(10), after(260));
-        two.silent(2, after(20), after(270));
-        assert!(two.admits(after(270)), "one engine twice counts once");
-        two.silent(3, after(30), after(280));
-        assert!(!two.admits(after(280)));
-        assert!(!two.paths.admits(&two.b, &two.a, 7, true, after(280)));
-        assert!(!two.paths.allows_transfer(&two.b, &two.a));
-        assert!(two.paths.admits(&two.a, &zone("c"), 7, true, after(280)));
-        assert_eq!(two.states(), [PathState::Suspected]);
+    fn three_silent_engines_without_an_answer_make_a_path_suspected_in_both_directions() {
+        let mut fixture = PathFixture::new();
+        fixture.record_silence(1, NOW, after(250));
+        fixture.record_silence(1, after(10), after(260));
+        fixture.record_silence(2, after(20), after(270));
+        assert!(fixture.admits(after(270)), "one engine twice counts once");
+        fixture.record_silence(3, after(30), after(280));
+        assert!(!fixture.admits(after(280)));
+        assert!(!fixture.paths.admits(&fixture.b, &fixture.a, 7, true, after(280)));
+        assert!(!fixture.paths.allows_transfer(&fixture.b, &fixture.a));
+        assert!(fixture.paths.admits(&fixture.a, &zone("c"), 7, true, after(280)));
+        assert_eq!(fixture.states(), [PathState::Suspected]);
     }
 
     #[test]
-    fn dark_engines_whose_neighbours_answer_never_do() {
-        let mut two = Two::new();
+    fn silent_engines_in_a_zone_that_answers_do_not_make_a_path_suspected() {
+        let mut fixture = PathFixture::new();
         for number in 0..20 {
             let sent = after(number * 100);
-            two.paths
-                .record_answer(&two.a, &two.b, sent + Duration::from_millis(50));
-            two.silent(number, sent, sent + Duration::from_millis(250));
-            assert!(two.admits(sent + Duration::from_millis(250)));
+            fixture
+                .paths
+                .record_answer(&fixture.a, &fixture.b, sent + Duration::from_millis(50));
+            fixture.record_silence(number, sent, sent + Duration::from_millis(250));
+            assert!(fixture.admits(sent + Duration::from_millis(250)));
         }
-        assert!(two.states().is_empty());
+        assert!(fixture.states().is_empty());
     }
 
     #[test]
-    fn a_zone_of_two_engines_is_suspected_when_both_are_silent_and_one_of_one_never() {
+    fn suspicion_needs_both_engines_of_a_zone_of_two_and_never_follows_from_a_single_engine() {
         for (engines, expected) in [(2, false), (1, true)] {
             let mut paths = Paths::default();
             let (a, b) = (zone("a"), zone("b"));
@@ -108,17 +109,17 @@
     }
 
     #[test]
-    fn silences_that_are_far_apart_have_nothing_to_do_with_each_other() {
-        let mut two = Two::new();
+    fn silences_outside_the_window_do_not_add_up() {
+        let mut fixture = PathFixture::new();
         for number in 0..5 {
             let sent = after(number * 1_500);
-            two.silent(number, sent, sent + Duration::from_millis(250));
+            fixture.record_silence(number, sent, sent + Duration::from_millis(250));
         }
-        assert!(two.admits(after(8_000)));
+        assert!(fixture.admits(after(8_000)));
     }
 
     #[test]
-    fn within_a_zone_there_is_no_path() {
+    fn there_is_no_path_within_a_zone() {
         let mut paths = Paths::default();
         let a = zone("a");
         for number in 0..9 {
@@ -132,13 +133,15 @@
     use super::*;
 
     #[test]
-    fn one_request_tries_a_suspected_path_now_and_then_and_ever_more_seldom() {
-        let mut two = Two::new();
-        two.suspect();
+    fn trials_over_a_suspected_path_back_off() {
+        let mut fixture = PathFixture::new();
+        fixture.suspect();
         let mut trials = Vec::new();
         for millis in 250..10_250 {
-            if two.admits(after(millis)) {
-                two.paths.record_request(&two.a, &two.b, after(millis));
+            if fixture.admits(after(millis)) {
+                fixture
+                    .paths
+                    .record_request(&fixture.a, &fixture.b, after(millis));
                 trials.push(millis - 250);
             }
         }
@@ -146,156 +149,177 @@
     }
 
     #[test]
-    fn what_may_not_be_repeated_is_no_trial() {
-        let mut two = Two::new();
-        two.suspect();
-        assert!(two.paths.admits(&two.a, &two.b, 7, true, after(5_000)));
-        assert!(!two.paths.admits(&two.a, &two.b, 7, false, after(5_000)));
+    fn requests_that_must_not_be_repeated_are_not_used_as_trials() {
+        let mut fixture = PathFixture::new();
+        fixture.suspect();
+        assert!(
+            fixture
+                .paths
+                .admits(&fixture.a, &fixture.b, 7, true, after(5_000))
+        );
+        assert!(
+            !fixture
+                .paths
+                .admits(&fixture.a, &fixture.b, 7, false, after(5_000))
+        );
     }
 
     #[test]
-    fn an_answer_to_a_trial_lets_load_return_step_by_step() {
-        let mut two = Two::new();
-        two.suspect();
-        two.paths.record_answer(&two.a, &two.b, after(1_000));
-        let admitted = |two: &Two, millis| {
-            let drawn = (0..10_000_u64).filter(|drawn| {
-                let paths = &two.paths;
-                paths.admits(&two.a, &two.b, *drawn, false, after(millis))
+    fn load_returns_gradually_after_an_answer_to_a_trial() {
+        let mut fixture = PathFixture::new();
+        fixture.suspect();
+        fixture.paths.record_answer(&fixture.a, &fixture.b, after(1_000));
+        let admitted = |fixture: &PathFixture, millis| {
+            let draw = (0..10_000_u64).filter(|draw| {
+                let paths = &fixture.paths;
+                paths.admits(&fixture.a, &fixture.b, *draw, false, after(millis))
             });
-            drawn.count() / 100
+            draw.count() / 100
         };
         let steps: Vec<usize> = [1_000, 1_250, 1_500, 1_750, 2_000]
-            .map(|millis| admitted(&two, millis))
+            .map(|millis| admitted(&fixture, millis))
             .to_vec();
         for (step, expected) in steps.iter().zip([10, 32, 55, 77, 100]) {
             assert!(step.abs_diff(expected) <= 1, "{steps:?}");
         }
-        two.paths.record_answer(&two.a, &two.b, after(2_000));
+        fixture.paths.record_answer(&fixture.a, &fixture.b, after(2_000));
         let expected = [PathState::Suspected, PathState::Recovering, PathState::Trusted];
-        assert_eq!(two.states(), expected);
+        assert_eq!(fixture.states(), expected);
     }
 
     #[test]
-    fn two_silent_engines_end_a_return() {
-        let mut two = Two::new();
-        two.suspect();
-        two.paths.record_answer(&two.a, &two.b, after(1_000));
-        two.silent(1, after(1_010), after(1_260));
-        assert!(two.paths.allows_transfer(&two.a, &two.b));
-        two.silent(2, after(1_020), after(1_270));
-        assert!(!two.paths.allows_transfer(&two.a, &two.b));
+    fn two_silent_engines_make_a_recovering_path_suspected_again() {
+        let mut fixture = PathFixture::new();
+        fixture.suspect();
+        fixture.paths.record_answer(&fixture.a, &fixture.b, after(1_000));
+        fixture.record_silence(1, after(1_010), after(1_260));
+        assert!(fixture.paths.allows_transfer(&fixture.a, &fixture.b));
+        fixture.record_silence(2, after(1_020), after(1_270));
+        assert!(!fixture.paths.allows_transfer(&fixture.a, &fixture.b));
     }
 
     #[test]
-    fn a_return_is_over_after_its_time() {
-        let returning = SlowStart::begin(NOW);
-        assert!(returning.admitted_fraction(NOW) < 0.2);
-        assert!((returning.admitted_fraction(after(5_000)) - 1.0).abs() < f64::EPSILON);
-        assert!((0..1_000).all(|drawn| returning.admits(drawn, after(1_000))));
+    fn slow_start_ends_after_its_duration() {
+        let slow_start = SlowStart::begin(NOW);
+        assert!(slow_start.admitted_fraction(NOW) < 0.2);
+        assert!((slow_start.admitted_fraction(after(5_000)) - 1.0).abs() < f64::EPSILON);
+        assert!((0..1_000).all(|draw| slow_start.admits(draw, after(1_000))));
     }
 }
 
-/// Whole fleets in virtual time: placers with their tables and routers, nodes that wait as they do, engines that answer.
+/// Simulated fleets of nodes, placers and engines.
 mod fleets {
     use super::*;
 
-    const CUT_AT: u64 = 1_000;
-    const HEALED_AT: u64 = 6_000;
+    const OUTAGE_STARTS_AT: u64 = 1_000;
+    const OUTAGE_ENDS_AT: u64 = 6_000;
 
-    fn cut() -> Outage {
-        Outage::ZoneCut {
+    fn isolated_zone() -> Outage {
+        Outage::IsolatedZone {
             zone: zone("zone-d"),
-            from: CUT_AT,
-            until: HEALED_AT,
+            from: OUTAGE_STARTS_AT,
+            until: OUTAGE_ENDS_AT,
         }
     }
 
-    /// Requests from outside the zone that waited in vain for one of its engines, by when they were asked.
-    fn waited(outcomes: &[Outcome], from: u64, until: u64) -> usize {
+    /// Number of requests that arrived in the interval and timed out at an engine.
+    fn timed_out(outcomes: &[Outcome], from: u64, until: u64) -> usize {
         let asked = outcomes
             .iter()
-            .filter(|outcome| (from..until).contains(&outcome.asked_at));
-        asked.filter(|outcome| outcome.silences > 0).count()
+            .filter(|outcome| (from..until).contains(&outcome.arrived_at));
+        asked.filter(|outcome| outcome.timeouts > 0).count()
     }
 
-    /// Plays the cut with silence told as such, and told like any broken connection, which only leaves the one engine
-    /// alone for a while.
-    fn check(nodes: u32, engines: u32, per_second: u32) {
-        let play = |tells_silence, shares_silence| {
+    /// Simulates an isolated zone three times: with placers that share silences, with placers that don't, and with
+    /// silences reported as connection failures, which only affect single engines.
+    fn check_isolated_zone(nodes: u32, engines: u32, per_second: u32) {
+        let simulate = |reports_silences, shares_silences| {
             let mut fleet = Fleet::new(nodes, engines, 8);
-            fleet.tells_silence = tells_silence;
-            fleet.shares_silence = shares_silence;
-            fleet.play(per_second, 11_000, &cut())
+            fleet.reports_silences = reports_silences;
+            fleet.shares_silences = shares_silences;
+            fleet.simulate(per_second, 11_000, &isolated_zone())
         };
-        let (outcomes, alone, before) = (play(true, true), play(true, false), play(false, false));
-        assert_eq!(waited(&outcomes, 0, CUT_AT - 300), 0);
-        let first = |outcomes: &[Outcome]| waited(outcomes, CUT_AT, CUT_AT + 1_000);
-        let later = |outcomes: &[Outcome]| waited(outcomes, CUT_AT + 1_000, HEALED_AT);
+        let (outcomes, unshared, baseline) = (
+            simulate(true, true),
+            simulate(true, false),
+            simulate(false, false),
+        );
+        assert_eq!(timed_out(&outcomes, 0, OUTAGE_STARTS_AT - 300), 0);
+        let first_second =
+            |outcomes: &[Outcome]| timed_out(outcomes, OUTAGE_STARTS_AT, OUTAGE_STARTS_AT + 1_000);
+        let later = |outcomes: &[Outcome]| timed_out(outcomes, OUTAGE_STARTS_AT + 1_000, OUTAGE_ENDS_AT);
         println!(
-            "{nodes} nodes: {} and then {} requests waited, {} and {} where placers tell nothing, {} and {} without paths",
-            first(&outcomes),
+            "{nodes} nodes: {} then {} requests timed out, {} then {} if placers share nothing, {} then {} without paths",
+            first_second(&outcomes),
             later(&outcomes),
-            first(&alone),
-            later(&alone),
-            first(&before),
-            later(&before)
+            first_second(&unshared),
+            later(&unshared),
+            first_second(&baseline),
+            later(&baseline)
         );
-        assert!(first(&outcomes) <= first(&alone));
-        assert!(first(&alone) * 10 <= first(&before) * 7);
-        assert!(later(&outcomes) * 8 <= later(&before));
-        let tried_once = outcomes.iter().filter(|outcome| outcome.single_try);
-        for outcome in tried_once.filter(|outcome| (CUT_AT + 1_000..HEALED_AT).contains(&outcome.asked_at)) {
+        assert!(first_second(&outcomes) <= first_second(&unshared));
+        assert!(first_second(&unshared) * 10 <= first_second(&baseline) * 7);
+        assert!(later(&outcomes) * 8 <= later(&baseline));
+        let single_try = outcomes.iter().filter(|outcome| outcome.single_try);
+        for outcome in single_try
+            .filter(|outcome| (OUTAGE_STARTS_AT + 1_000..OUTAGE_ENDS_AT).contains(&outcome.arrived_at))
+        {
             assert_eq!(
-                outcome.silences, 0,
-                "a trial that may not be repeated: {outcome:?}"
+                outcome.timeouts, 0,
+                "a request that must not be repeated was used as a trial: {outcome:?}"
             );
         }
-        assert!(outcomes.iter().all(|outcome| outcome.handed_over == 1));
-        // Two seconds at most until a trial, one until all may go there again.
+        assert!(outcomes.iter().all(|outcome| outcome.answers == 1));
+        // A trial follows within 2 s, and the full load returns within 1 s after it.
         let after = outcomes
             .iter()
-            .filter(|outcome| outcome.asked_at > HEALED_AT + 3_300);
-        let (there, total) = after.fold((0, 0), |(there, total), outcome| {
-            (there + u32::from(outcome.zone == zone("zone-d")), total + 1)
+            .filter(|outcome| outcome.arrived_at > OUTAGE_ENDS_AT + 3_300);
+        let (in_zone, total) = after.fold((0, 0), |(in_zone, total), outcome| {
+            (in_zone + u32::from(outcome.zone == zone("zone-d")), total + 1)
         });
         assert!(
-            there * 5 > total,
-            "{there} of {total} go there again after the zone is back"
+            in_zone * 5 > total,
+            "{in_zone} of {total} requests go to the zone after it is reachable again"
         );
     }
 
     #[test]
-    fn few_requests_of_66_nodes_wait_for_a_zone_that_is_cut_off() {
-        check(66, 90, 400);
+    fn few_requests_of_66_nodes_time_out_in_an_isolated_zone() {
+        check_isolated_zone(66, 90, 400);
     }
 
     #[test]
-    fn few_requests_of_300_nodes_wait_for_a_zone_that_is_cut_off() {
-        check(300, 160, 800);
+    fn few_requests_of_300_nodes_time_out_in_an_isolated_zone() {
+        check_isolated_zone(300, 160, 800);
     }
 
     #[test]
-    fn dark_engines_in_every_zone_leave_the_paths_trusted_and_few_requests_wait() {
-        let dark = Outage::Dark {
+    fn unresponsive_engines_in_every_zone_leave_the_paths_trusted() {
+        let outage = Outage::UnresponsiveEngines {
             every: 5,
-            from: CUT_AT,
-            until: HEALED_AT,
+            from: OUTAGE_STARTS_AT,
+            until: OUTAGE_ENDS_AT,
         };
-        let play = |shares_silence| {
+        let simulate = |shares_silences| {
             let mut fleet = Fleet::new(66, 90, 8);
-            fleet.shares_silence = shares_silence;
-            let outcomes = fleet.play(400, 9_000, &dark);
-            assert_eq!(fleet.path_changes(), 0, "placers tell: {shares_silence}");
-            waited(&outcomes, CUT_AT, HEALED_AT)
+            fleet.shares_silences = shares_silences;
+            let outcomes = fleet.simulate(400, 9_000, &outage);
+            assert_eq!(
+                fleet.path_changes(),
+                0,
+                "placers share silences: {shares_silences}"
+            );
+            timed_out(&outcomes, OUTAGE_STARTS_AT, OUTAGE_ENDS_AT)
         };
-        let (shared, alone) = (play(true), play(false));
-        println!("18 of 90 engines dark: {shared} requests waited, {alone} where placers tell nothing");
-        assert!(shared * 2 <= alone);
+        let (shared, unshared) = (simulate(true), simulate(false));
+        println!(
+            "18 of 90 engines unresponsive: {shared} requests timed out, {unshared} if placers share nothing"
+        );
+        assert!(shared * 2 <= unshared);
     }
 }
 
-/// What the router does with a suspected path besides choosing engines.
+/// Effects of a suspected path on KV cache transfers and on the choice of decode engines.
 mod router {
     use super::*;
     use crate::pool_support::{engine_with, pool, router_with};
@@ -305,14 +329,14 @@
         RequestTerms,
     };
 
-    struct Asked {
+    struct TestRequest {
         pool: shelfjunction_core::forwarding::PoolId,
         prompt: PromptShape,
         prefixes: Vec<shelfjunction_core::routing::pool::PrefixBlock>,
         zone: ZoneId,
     }
 
-    impl Asked {
+    impl TestRequest {
         fn new() -> Self {
             let part = |name| PromptPart { name, tokens: 4_000 };
             let prompt = PromptShape {
@@ -355,7 +379,7 @@
         }
     }
 
-    /// Two engines of each kind in two zones; the one that reads prompts in zone-b holds the prompt.
+    /// Prefill and decode engines in two zones; the prefill engine in zone-b holds the prompt in its KV cache.
     fn router() -> PoolRouter {
         let engines = [
             engine_in("p-a", EngineStage::Prefill, "zone-a"),
@@ -365,58 +389,67 @@
             engine_in("d-b2", EngineStage::Decode, "zone-b"),
         ];
         let mut router = router_with(PoolWeights::default(), 8, Some(1e-6), &engines);
-        let asked = Asked::new();
-        router.on_prefixes_held(&EngineId::new("p-b"), &asked.prefixes, NOW);
+        let request = TestRequest::new();
+        router.on_prefixes_held(&EngineId::new("p-b"), &request.prefixes, NOW);
         router
     }
 
-    fn cut(router: &mut PoolRouter) {
-        let asked = Asked::new();
+    fn suspect_path(router: &mut PoolRouter) {
+        let request = TestRequest::new();
         for engine in ["p-b", "d-b", "d-b2"] {
             let id = EngineId::new(engine);
-            let ticket = router.on_output_sent(&id, &asked.query(), KvCacheSource::Prefill, NOW);
+            let ticket = router.on_output_sent(&id, &request.query(), KvCacheSource::Prefill, NOW);
             router.on_silence(&ticket, after(250));
         }
     }
 
     #[test]
-    fn nothing_is_fetched_from_beyond_a_suspected_path() {
+    fn no_kv_cache_is_fetched_over_a_suspected_path() {
         let mut router = router();
-        let asked = Asked::new();
+        let request = TestRequest::new();
         let reader = EngineId::new("p-a");
-        assert!(router.fetch_source(&reader, &asked.query(), NOW).is_some());
-        cut(&mut router);
-        // The engines themselves are no longer left alone by then, the path still is.
+        assert!(router.fetch_source(&reader, &request.query(), NOW).is_some());
+        suspect_path(&mut router);
+        // At this time the engines themselves are no longer avoided, but the path is still suspected.
         let later = after(900);
-        assert_eq!(router.fetch_source(&reader, &asked.query(), later), None);
+        assert_eq!(router.fetch_source(&reader, &request.query(), later), None);
     }
 
     #[test]
-    fn an_output_does_not_leave_the_zone_of_its_prompt_over_a_suspected_path() {
+    fn decode_stays_in_the_zone_of_the_prefill_if_the_path_is_suspected() {
         let mut router = router();
-        let asked = Asked::new();
+        let request = TestRequest::new();
         for _ in 0..8 {
-            router.on_output_sent(&EngineId::new("d-a"), &asked.query(), KvCacheSource::Prefill, NOW);
+            router.on_output_sent(
+                &EngineId::new("d-a"),
+                &request.query(),
+                KvCacheSource::Prefill,
+                NOW,
+            );
         }
         let source = EngineId::new("p-a");
-        let chosen = |router: &PoolRouter, now| router.choose_output(&asked.query(), &source, now).unwrap();
-        assert_eq!(chosen(&router, NOW).zone, zone("zone-b"), "its own zone is full");
-        cut(&mut router);
+        let chosen = |router: &PoolRouter, now| router.choose_output(&request.query(), &source, now).unwrap();
+        assert_eq!(
+            chosen(&router, NOW).zone,
+            zone("zone-b"),
+            "the engine in zone-a is busy"
+        );
+        suspect_path(&mut router);
         assert_eq!(chosen(&router, after(900)).zone, zone("zone-a"));
     }
 
     #[test]
-    fn where_nothing_else_is_left_a_suspected_path_is_taken() {
+    fn a_suspected_path_is_used_if_there_is_no_alternative() {
         let engines = ["d-1", "d-2", "d-3"].map(|id| engine_in(id, EngineStage::Decode, "zone-b"));
         let mut router = router_with(PoolWeights::default(), 8, Some(1e-6), &engines);
-        let asked = Asked::new();
+        let request = TestRequest::new();
         for engine in &engines {
-            let ticket = router.on_output_sent(&engine.id, &asked.query(), KvCacheSource::Prefill, NOW);
+            let ticket = router.on_output_sent(&engine.id, &request.query(), KvCacheSource::Prefill, NOW);
             router.on_silence(&ticket, after(250));
         }
         assert!(
             router
-                .choose_output(&asked.query(), &EngineId::new("d-1"), after(260))
+                .choose_output(&request.query(), &EngineId::new("d-1"), after(260))
                 .is_some()
         );
     }
--- a/crates/core/tests/pauses_world/mod.rs
+++ b/crates/core/tests/pauses_world/mod.rs
@@ -1,8 +1,9 @@
-//! Streams on engines with prompts read beside them, in virtual time: several nodes choose with a router each and hear
-//! of each other's work every 100 ms.
+//! Simulation of streams on engines with concurrent prefill. Several nodes choose engines, each with its own router,
+//! and exchange load reports every 100 ms.
 //!
-//! Every engine works in steps. A step of one that runs outputs takes a fixed time, and a piece of a prompt on top
-//! where one is to be read; after a number of steps each output gives an event. All of it times the engine's factor.
+//! Engines work in steps. A step of a decode engine takes a fixed time, plus the prefill of one chunk if a prompt is
+//! queued; each stream emits an event after a fixed number of steps. All durations are multiplied by the slowdown
+//! factor of the engine.
 
 mod parts;
 
@@ -24,26 +25,26 @@
 
 const STEP_MICROS: f64 = 3_400.0;
 const STEPS_PER_EVENT: u32 = 14;
-const PIECE_TOKENS: f64 = 1_024.0;
-const OUTPUT_ENGINE_TOKENS_PER_MICRO: f64 = 0.030;
-const READING_ENGINE_TOKENS_PER_MICRO: f64 = 0.060;
-const HAND_OVER_MICROS: u64 = 8_000;
-const TELLING_MICROS: u64 = 100_000;
-/// Time for which an engine's machine stays busy or free.
-const BUSY_MICROS: u64 = 600_000;
-/// Factor by which work takes longer at an engine whose machine is busy with others' work.
+const CHUNK_TOKENS: f64 = 1_024.0;
+const DECODE_ENGINE_TOKENS_PER_MICRO: f64 = 0.030;
+const PREFILL_ENGINE_TOKENS_PER_MICRO: f64 = 0.060;
+const HANDOFF_MICROS: u64 = 8_000;
+const REPORT_INTERVAL_MICROS: u64 = 100_000;
+/// Interval at which machines become busy or free.
+const MACHINE_CHANGE_INTERVAL_MICROS: u64 = 600_000;
+/// Slowdown factor of an engine whose machine is busy with other work.
 const BUSY_FACTOR: f64 = 2.5;
-const SWING: f64 = 0.5;
-const SWING_SECONDS: f64 = 10.0;
-/// One pause in so many is told to the router, as nodes do.
-const PAUSES_TOLD: u32 = 4;
+const RATE_AMPLITUDE: f64 = 0.5;
+const RATE_PERIOD_SECONDS: f64 = 10.0;
+/// Every fourth event interval of a stream is reported to the router, as in a node.
+const PAUSE_REPORT_INTERVAL: u32 = 4;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Happening {
+enum Event {
     Arrival,
-    HandedOver(usize, usize),
+    HandoffDone(usize, usize),
     StepDone(usize),
-    Told,
+    ReportsDue,
     MachinesChange,
 }
 
@@ -51,7 +52,7 @@
     setup: Setup,
     random: StdRng,
     now: u64,
-    queue: BinaryHeap<Reverse<(u64, u64, Happening)>>,
+    queue: BinaryHeap<Reverse<(u64, u64, Event)>>,
     numbers: u64,
     routers: Vec<PoolRouter>,
     names: Vec<EngineId>,
@@ -60,33 +61,33 @@
     streams: Streams,
 }
 
-/// Plays a run to its end.
-pub fn play(setup: Setup) -> Streams {
+/// Runs a simulation until all its streams end.
+pub fn simulate(setup: Setup) -> Streams {
     let mut world = World::new(setup);
-    world.at(0, Happening::Arrival);
-    world.at(0, Happening::Told);
-    world.at(0, Happening::MachinesChange);
-    while let Some(Reverse((at, _, happening))) = world.queue.pop() {
+    world.schedule(0, Event::Arrival);
+    world.schedule(0, Event::ReportsDue);
+    world.schedule(0, Event::MachinesChange);
+    while let Some(Reverse((at, _, event))) = world.queue.pop() {
         world.now = at;
-        world.take(happening);
+        world.handle(event);
     }
     world.streams
 }
 
 impl World {
     fn new(setup: Setup) -> Self {
-        let reading = (0..setup.reading_engines.len())
+        let prefill_engines = (0..setup.prefill_engine_factors.len())
             .map(|index| engine_with(&format!("p{index}"), EngineStage::Prefill, 64));
-        let outputs = (0..setup.output_engines.len())
+        let decode_engines = (0..setup.decode_engine_factors.len())
             .map(|index| engine_with(&format!("d{index}"), EngineStage::Decode, 64));
-        let listed: Vec<_> = reading.chain(outputs).collect();
-        let reading = setup.reading_engines.iter().map(|factor| Engine {
+        let listed: Vec<_> = prefill_engines.chain(decode_engines).collect();
+        let prefill_engines = setup.prefill_engine_factors.iter().map(|factor| Engine {
             factor: *factor,
-            reads_only: true,
+            is_prefill_only: true,
             ..Engine::default()
         });
-        let mut engines: Vec<Engine> = reading.collect();
-        engines.extend(setup.output_engines.iter().map(|factor| Engine {
+        let mut engines: Vec<Engine> = prefill_engines.collect();
+        engines.extend(setup.decode_engine_factors.iter().map(|factor| Engine {
             factor: *factor,
             ..Engine::default()
         }));
@@ -104,63 +105,63 @@
         }
     }
 
-    fn at(&mut self, micros: u64, happening: Happening) {
+    fn schedule(&mut self, micros: u64, event: Event) {
         self.numbers += 1;
-        self.queue.push(Reverse((micros, self.numbers, happening)));
+        self.queue.push(Reverse((micros, self.numbers, event)));
     }
 
     fn time(&self) -> MonotonicTime {
         MonotonicTime::from_millis(10_000) + Duration::from_micros(self.now)
     }
 
-    fn take(&mut self, happening: Happening) {
-        match happening {
-            Happening::Arrival => self.arrive(),
-            Happening::HandedOver(request, engine) => {
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::Arrival => self.on_arrival(),
+            Event::HandoffDone(request, engine) => {
                 self.engines[engine].outputs.push(request);
-                self.work(engine);
+                self.start_step(engine);
             }
-            Happening::StepDone(engine) => self.step_done(engine),
-            Happening::Told => self.tell(),
-            Happening::MachinesChange => self.machines_change(),
+            Event::StepDone(engine) => self.on_step_done(engine),
+            Event::ReportsDue => self.exchange_reports(),
+            Event::MachinesChange => self.change_machines(),
         }
     }
 
-    fn ends_at(&self) -> u64 {
+    fn end_micros(&self) -> u64 {
         self.setup.seconds * 1_000_000
     }
 
-    fn tell(&mut self) {
+    fn exchange_reports(&mut self) {
         let now = self.time();
         for from in 0..self.routers.len() {
-            let works = self.routers[from].own_load();
+            let loads = self.routers[from].own_load();
             let name = NodeId::new(format!("node-{from}"));
             for to in (0..self.routers.len()).filter(|to| *to != from) {
-                self.routers[to].on_peer_load(&name, WorkSlice::ALL, &works, now);
+                self.routers[to].on_peer_load(&name, WorkSlice::ALL, &loads, now);
             }
         }
-        if self.now < self.ends_at() {
-            self.at(self.now + TELLING_MICROS, Happening::Told);
+        if self.now < self.end_micros() {
+            self.schedule(self.now + REPORT_INTERVAL_MICROS, Event::ReportsDue);
         }
     }
 
-    fn machines_change(&mut self) {
+    fn change_machines(&mut self) {
         for engine in &mut self.engines {
-            engine.busy = self.random.random::<f64>() < self.setup.busy_share;
+            engine.is_machine_busy = self.random.random::<f64>() < self.setup.busy_share;
         }
-        if self.now < self.ends_at() {
-            self.at(self.now + BUSY_MICROS, Happening::MachinesChange);
+        if self.now < self.end_micros() {
+            self.schedule(self.now + MACHINE_CHANGE_INTERVAL_MICROS, Event::MachinesChange);
         }
     }
 
-    /// Requests a second now.
+    /// Current request rate per second.
     fn rate(&self) -> f64 {
-        let turn = self.now as f64 / 1e6 / SWING_SECONDS * std::f64::consts::TAU;
-        self.setup.requests_per_second * (1.0 + SWING * turn.sin())
+        let turn = self.now as f64 / 1e6 / RATE_PERIOD_SECONDS * std::f64::consts::TAU;
+        self.setup.requests_per_second * (1.0 + RATE_AMPLITUDE * turn.sin())
     }
 
-    /// Prompts of three sizes, as callers mix short ones that wait little with long ones.
-    fn arrive(&mut self) {
+    /// Creates a request with one of three prompt sizes and schedules the next arrival.
+    fn on_arrival(&mut self) {
         let (tokens, events) = match self.random.random_range(0..10_u32) {
             0..5 => (1_100, 12),
             5..8 => (3_000, 4),
@@ -180,21 +181,21 @@
             },
             arrived: self.now,
             ticket: None,
-            prefill: None,
-            events_left: events,
+            prefill_engine: None,
+            remaining_events: events,
             steps: 0,
             events: 0,
             last_event: None,
-            first_late: false,
-            pause_late: false,
+            is_first_event_late: false,
+            is_pause_late: false,
         };
         self.requests.push(request);
         self.place(self.requests.len() - 1);
         let mean = 1_000_000.0 / self.rate();
         let gap = -mean * (1.0 - self.random.random::<f64>()).ln();
         let next = self.now + gap as u64;
-        if next < self.ends_at() {
-            self.at(next, Happening::Arrival);
+        if next < self.end_micros() {
+            self.schedule(next, Event::Arrival);
         }
     }
 
@@ -202,19 +203,19 @@
         self.names.iter().position(|name| name == engine).unwrap()
     }
 
-    /// Asks a request's router; the query is rebuilt for each call, since the router is borrowed too.
-    fn ask<T>(
+    /// Calls the router of a request with a query for it.
+    fn with_query<T>(
         &mut self,
         request: usize,
-        ask: impl FnOnce(&mut PoolRouter, &PoolQuery<'_>, MonotonicTime) -> T,
+        call: impl FnOnce(&mut PoolRouter, &PoolQuery<'_>, MonotonicTime) -> T,
     ) -> T {
         let now = self.time();
-        let asked = &self.requests[request];
-        let prefixes = asked.prompt.prefixes();
+        let request_state = &self.requests[request];
+        let prefixes = request_state.prompt.prefixes();
         let query = PoolQuery {
             from_this_node: true,
             pool: &pool(),
-            prompt: Some(&asked.prompt),
+            prompt: Some(&request_state.prompt),
             prefixes: &prefixes,
             zone: &ZoneId::new("zone-a"),
             excluded: &[],
@@ -228,21 +229,21 @@
             remaining: Duration::from_secs(5),
             slot_max_wait: Duration::ZERO,
         };
-        ask(&mut self.routers[asked.node], &query, now)
+        call(&mut self.routers[request_state.node], &query, now)
     }
 
     fn place(&mut self, request: usize) {
-        let route = self.ask(request, |router, query, now| router.choose(query, now));
+        let route = self.with_query(request, |router, query, now| router.choose(query, now));
         let (engine, is_prompt) = match route {
             PoolRoute::Whole(engine) => (engine.id, false),
             PoolRoute::Split { prefill, .. } => (prefill.id, true),
             PoolRoute::Nowhere => {
-                self.streams.nowhere += 1;
+                self.streams.not_placed += 1;
                 return;
             }
         };
         self.streams.choices.push(engine.to_string());
-        let ticket = self.ask(request, |router, query, now| {
+        let ticket = self.with_query(request, |router, query, now| {
             if is_prompt {
                 router.on_prompt_sent(&engine, query, now)
             } else {
@@ -251,98 +252,101 @@
         });
         let tokens = f64::from(self.requests[request].prompt.tokens);
         self.requests[request].ticket = Some(ticket);
-        self.requests[request].prefill = is_prompt.then(|| engine.clone());
+        self.requests[request].prefill_engine = is_prompt.then(|| engine.clone());
         let index = self.index_of(&engine);
         self.engines[index].prompts.push_back((request, tokens));
-        self.work(index);
+        self.start_step(index);
     }
 
-    /// Begins a step where there is something to do and none is under way.
-    fn work(&mut self, index: usize) {
+    /// Starts a step if the engine is idle and has work.
+    fn start_step(&mut self, index: usize) {
         let engine = &mut self.engines[index];
-        if engine.working || (engine.prompts.is_empty() && engine.outputs.is_empty()) {
+        if engine.is_working || (engine.prompts.is_empty() && engine.outputs.is_empty()) {
             return;
         }
-        engine.working = true;
-        let left = engine.prompts.front().map_or(0.0, |(_, tokens)| *tokens);
-        let (tokens, speed, step) = if engine.reads_only {
-            (left, READING_ENGINE_TOKENS_PER_MICRO, 0.0)
+        engine.is_working = true;
+        let remaining = engine.prompts.front().map_or(0.0, |(_, tokens)| *tokens);
+        let (tokens, speed, step) = if engine.is_prefill_only {
+            (remaining, PREFILL_ENGINE_TOKENS_PER_MICRO, 0.0)
         } else {
             (
-                left.min(PIECE_TOKENS),
-                OUTPUT_ENGINE_TOKENS_PER_MICRO,
+                remaining.min(CHUNK_TOKENS),
+                DECODE_ENGINE_TOKENS_PER_MICRO,
                 STEP_MICROS,
             )
         };
-        let busy = if engine.busy { BUSY_FACTOR } else { 1.0 };
-        let took = engine.factor * busy * (step + tokens / speed);
-        if let Some((_, left)) = engine.prompts.front_mut() {
-            *left -= tokens;
+        let busy_factor = if engine.is_machine_busy { BUSY_FACTOR } else { 1.0 };
+        let duration = engine.factor * busy_factor * (step + tokens / speed);
+        if let Some((_, remaining)) = engine.prompts.front_mut() {
+            *remaining -= tokens;
         }
-        self.at(self.now + took.ceil() as u64, Happening::StepDone(index));
+        self.schedule(self.now + duration.ceil() as u64, Event::StepDone(index));
     }
 
-    fn step_done(&mut self, index: usize) {
-        self.engines[index].working = false;
+    fn on_step_done(&mut self, index: usize) {
+        self.engines[index].is_working = false;
         for request in self.engines[index].outputs.clone() {
             self.output_step(request, index);
         }
-        let read = self.engines[index].prompts.pop_front_if(|(_, left)| *left <= 0.0);
-        if let Some((request, _)) = read {
-            self.prompt_read(request, index);
+        let prefilled = self.engines[index]
+            .prompts
+            .pop_front_if(|(_, remaining)| *remaining <= 0.0);
+        if let Some((request, _)) = prefilled {
+            self.on_prompt_prefilled(request, index);
         }
-        self.work(index);
+        self.start_step(index);
     }
 
-    fn prompt_read(&mut self, request: usize, index: usize) {
-        if !self.engines[index].reads_only {
+    fn on_prompt_prefilled(&mut self, request: usize, index: usize) {
+        if !self.engines[index].is_prefill_only {
             self.engines[index].outputs.push(request);
             return;
         }
         let (Some(ticket), Some(source)) = (
             self.requests[request].ticket.take(),
-            self.requests[request].prefill.clone(),
+            self.requests[request].prefill_engine.clone(),
         ) else {
             return;
         };
-        let engine = self.ask(request, |router, query, now| {
+        let engine = self.with_query(request, |router, query, now| {
             router.on_prompt_prefilled(&ticket, query.prefixes, now);
             router.choose_output(query, &source, now)
         });
         let engine = engine.unwrap().id;
-        let ticket = self.ask(request, |router, query, now| {
+        let ticket = self.with_query(request, |router, query, now| {
             router.on_output_sent(&engine, query, KvCacheSource::Transfer, now)
         });
         self.streams.choices.push(engine.to_string());
         self.requests[request].ticket = Some(ticket);
         let index = self.index_of(&engine);
-        self.at(self.now + HAND_OVER_MICROS, Happening::HandedOver(request, index));
+        self.schedule(self.now + HANDOFF_MICROS, Event::HandoffDone(request, index));
     }
 
-    /// One step of an output: its first event comes at once, each further one after some steps.
+    /// Advances a stream by one step. The first event follows immediately, each later one after `STEPS_PER_EVENT`
+    /// steps.
     fn output_step(&mut self, number: usize, index: usize) {
         let now = self.now;
         let request = &mut self.requests[number];
         request.steps += 1;
-        let gives_event = request.last_event.is_none() || request.steps >= STEPS_PER_EVENT;
-        if !gives_event {
+        let emits_event = request.last_event.is_none() || request.steps >= STEPS_PER_EVENT;
+        if !emits_event {
             return;
         }
         request.steps = 0;
         request.events += 1;
-        request.events_left -= 1;
+        request.remaining_events -= 1;
         let before = request.last_event.replace(now);
-        let ended = request.events_left == 0;
-        let told = request.events.is_multiple_of(PAUSES_TOLD);
-        let within = self.setup.first_event_within;
+        let is_complete = request.remaining_events == 0;
+        let is_reported = request.events.is_multiple_of(PAUSE_REPORT_INTERVAL);
+        let timeout = self.setup.first_event_timeout;
         match before {
             None => {
-                request.first_late = Duration::from_micros(now - request.arrived) > within;
+                request.is_first_event_late = Duration::from_micros(now - request.arrived) > timeout;
                 self.on_first_event(number);
             }
-            Some(before) => self.on_pause(number, Duration::from_micros(now - before), told),
+            Some(before) => self.on_pause(number, Duration::from_micros(now - before), is_reported),
         }
-        if ended {
+        if is_complete {
             self.on_ended(number, index);
         }
     }
@@ -351,34 +355,34 @@
         let Some(ticket) = self.requests[number].ticket.clone() else {
             return;
         };
-        self.ask(number, |router, query, now| {
+        self.with_query(number, |router, query, now| {
             router.on_output_started(&ticket, query.prefixes, now);
         });
     }
 
-    fn on_pause(&mut self, number: usize, pause: Duration, told: bool) {
+    fn on_pause(&mut self, number: usize, pause: Duration, is_reported: bool) {
         let Some(bound) = self.setup.bound else {
             return;
         };
-        if pause > bound && !std::mem::replace(&mut self.requests[number].pause_late, true) {
+        if pause > bound && !std::mem::replace(&mut self.requests[number].is_pause_late, true) {
             let ticket = self.requests[number].ticket.clone().unwrap();
-            self.ask(number, |router, _, _| router.on_event_gap_exceeded(&ticket));
+            self.with_query(number, |router, _, _| router.on_event_gap_exceeded(&ticket));
         }
-        if let Some(ticket) = self.requests[number].ticket.clone().filter(|_| told) {
-            let part = pause.as_secs_f64() / bound.as_secs_f64();
-            self.ask(number, |router, _, now| router.on_pause(&ticket, part, now));
+        if let Some(ticket) = self.requests[number].ticket.clone().filter(|_| is_reported) {
+            let ratio = pause.as_secs_f64() / bound.as_secs_f64();
+            self.with_query(number, |router, _, now| router.on_pause(&ticket, ratio, now));
         }
     }
 
     fn on_ended(&mut self, number: usize, index: usize) {
         self.engines[index].outputs.retain(|running| *running != number);
         if let Some(ticket) = self.requests[number].ticket.take() {
-            self.ask(number, |router, _, _| router.on_answered(&ticket));
+            self.with_query(number, |router, _, _| router.on_answered(&ticket));
         }
         let request = &self.requests[number];
-        self.streams.ended += 1;
-        self.streams.late_by_pause += u32::from(request.pause_late);
-        self.streams.late_by_first_event += u32::from(request.first_late);
-        self.streams.late_by_either += u32::from(request.pause_late || request.first_late);
+        self.streams.completed += 1;
+        self.streams.late_by_pause += u32::from(request.is_pause_late);
+        self.streams.late_by_first_event += u32::from(request.is_first_event_late);
+        self.streams.late_by_either += u32::from(request.is_pause_late || request.is_first_event_late);
     }
 }
--- a/crates/core/tests/pauses_world/parts.rs
+++ b/crates/core/tests/pauses_world/parts.rs
@@ -1,52 +1,52 @@
-//! What a run of streams is made of, and how they went.
+//! Parameters, results and state of the stream simulation.
 
 use shelfjunction_core::identity::EngineId;
 use shelfjunction_core::routing::pool::{PoolTicket, PoolWeights, PromptShape};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// What a run is made of.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Setup {
     pub nodes: usize,
-    /// Factor by which work takes longer at each engine that reads prompts.
-    pub reading_engines: Vec<f64>,
-    /// The same at each engine that runs outputs.
-    pub output_engines: Vec<f64>,
-    /// Part of the time for which an engine's machine is busy with others' work.
+    /// Slowdown factor of each prefill engine.
+    pub prefill_engine_factors: Vec<f64>,
+    /// Slowdown factor of each decode engine.
+    pub decode_engine_factors: Vec<f64>,
+    /// Fraction of time in which the machine of an engine is busy with other work.
     pub busy_share: f64,
-    /// Mean over the run; the rate swings by half around it.
+    /// Mean request rate; the actual rate oscillates by half around it.
     pub requests_per_second: f64,
     pub seconds: u64,
     pub bound: Option<Duration>,
-    pub first_event_within: Duration,
+    pub first_event_timeout: Duration,
     pub weights: PoolWeights,
     pub seed: u64,
 }
 
-/// How the streams of a run went.
+/// Results of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Streams {
-    pub ended: u32,
+    pub completed: u32,
     pub late_by_pause: u32,
     pub late_by_first_event: u32,
     pub late_by_either: u32,
-    pub nowhere: u32,
-    /// Choices, in order; the same for runs that are served alike.
+    pub not_placed: u32,
+    /// Chosen engines in order, to compare the routing of two runs.
     pub choices: Vec<String>,
 }
 
 impl Streams {
     pub fn share_late_by_pause(&self) -> f64 {
-        f64::from(self.late_by_pause) / f64::from(self.ended.max(1))
+        f64::from(self.late_by_pause) / f64::from(self.completed.max(1))
     }
 
     pub fn share_late(&self) -> f64 {
-        f64::from(self.late_by_either) / f64::from(self.ended.max(1))
+        f64::from(self.late_by_either) / f64::from(self.completed.max(1))
     }
 
     pub fn share_late_by_first_event(&self) -> f64 {
-        f64::from(self.late_by_first_event) / f64::from(self.ended.max(1))
+        f64::from(self.late_by_first_event) / f64::from(self.completed.max(1))
     }
 }
 
@@ -56,22 +56,22 @@
     pub(super) prompt: PromptShape,
     pub(super) arrived: u64,
     pub(super) ticket: Option<PoolTicket>,
-    pub(super) prefill: Option<EngineId>,
-    pub(super) events_left: u32,
+    pub(super) prefill_engine: Option<EngineId>,
+    pub(super) remaining_events: u32,
     pub(super) steps: u32,
     pub(super) events: u32,
     pub(super) last_event: Option<u64>,
-    pub(super) first_late: bool,
-    pub(super) pause_late: bool,
+    pub(super) is_first_event_late: bool,
+    pub(super) is_pause_late: bool,
 }
 
 #[derive(Clone, Debug, Default)]
 pub(super) struct Engine {
     pub(super) factor: f64,
-    pub(super) busy: bool,
-    pub(super) reads_only: bool,
-    pub(super) working: bool,
-    /// Prompts to read, with the tokens that are left.
+    pub(super) is_machine_busy: bool,
+    pub(super) is_prefill_only: bool,
+    pub(super) is_working: bool,
+    /// Queued prompts, with their remaining prefill tokens.
     pub(super) prompts: VecDeque<(usize, f64)>,
     pub(super) outputs: Vec<usize>,
 }
--- a/crates/core/tests/pool_admission.rs
+++ b/crates/core/tests/pool_admission.rs
@@ -1,4 +1,4 @@
-//! What engines are seen to take, and which requests are taken by it: in time, late or refused.
+//! Learned engine speeds, and the admission decisions based on them: in time, late or refused.
 
 #![allow(clippy::unwrap_used)]
 
@@ -18,12 +18,12 @@
 
 const NOW: MonotonicTime = MonotonicTime::from_millis(10_000);
 
-/// Tokens that the engines of these tests are assumed to read in a second.
-const SPEED: f64 = 100_000.0;
+/// Assumed prefill speed of the engines, in tokens per second.
+const PREFILL_TOKENS_PER_SECOND: f64 = 100_000.0;
 
 fn router() -> PoolRouter {
     let weights = PoolWeights {
-        assumed_prompt_tokens_per_second: SPEED,
+        assumed_prompt_tokens_per_second: PREFILL_TOKENS_PER_SECOND,
         decode_reading_pace: 0.001,
         ..PoolWeights::default()
     };
@@ -32,14 +32,14 @@
     router_with(weights, 4, Some(1e-7), &engines)
 }
 
-struct Asked {
+struct TestRequest {
     pool: PoolId,
     zone: ZoneId,
     prompt: PromptShape,
     prefixes: Vec<PrefixBlock>,
 }
 
-impl Asked {
+impl TestRequest {
     fn new(tokens: u32) -> Self {
         let prompt = PromptShape {
             model: "m".to_owned(),
@@ -82,75 +82,86 @@
     }
 }
 
-/// A router before whose only prefill engine so many tokens of a rank wait.
-fn waiting(rank: usize, tokens: u32) -> PoolRouter {
+/// A router whose only prefill engine has this many queued prompt tokens of the rank.
+fn router_with_queue(rank: usize, tokens: u32) -> PoolRouter {
     let mut router = router();
     let handle = router.engine(&EngineId::new("p1")).unwrap().handle;
-    let mut work = PeerWork {
+    let mut load = PeerWork {
         requests: 3,
         ..PeerWork::default()
     };
-    work.prompt_tokens[rank] = tokens;
-    router.on_peer_load(&NodeId::new("other"), WorkSlice::ALL, &[(handle, work)], NOW);
+    load.prompt_tokens[rank] = tokens;
+    router.on_peer_load(&NodeId::new("other"), WorkSlice::ALL, &[(handle, load)], NOW);
     router
 }
 
-fn decide(router: &PoolRouter, is_retry: bool, settings: &PoolAdmission) -> AdmissionDecision {
-    router.admit(&Asked::new(5_000).query(), timing(is_retry), settings, NOW)
+fn admission_decision(router: &PoolRouter, is_retry: bool, settings: &PoolAdmission) -> AdmissionDecision {
+    router.admit(&TestRequest::new(5_000).query(), timing(is_retry), settings, NOW)
 }
 
 #[test]
-fn what_can_be_in_time_is_taken_and_what_can_not_goes_behind_it_or_is_refused_at_once() {
+fn requests_that_miss_the_target_are_served_late_or_refused() {
     let settings = PoolAdmission::default();
     assert_eq!(
-        decide(&waiting(0, 0), false, &settings).admission,
+        admission_decision(&router_with_queue(0, 0), false, &settings).admission,
         Admission::InTime
     );
-    let late = decide(&waiting(0, 60_000), false, &settings);
+    let late = admission_decision(&router_with_queue(0, 60_000), false, &settings);
     assert_eq!(late.admission, Admission::Late);
     assert_ne!(late.route, PoolRoute::Nowhere);
-    let refused = decide(&waiting(0, 400_000), false, &settings);
+    let refused = admission_decision(&router_with_queue(0, 400_000), false, &settings);
     assert!(matches!(refused.admission, Admission::Refused { .. }));
     assert_eq!(refused.route, PoolRoute::Nowhere);
 }
 
 #[test]
-fn what_waits_behind_everything_else_delays_nobody() {
-    let decision = decide(&waiting(LATE_RANK, 400_000), false, &PoolAdmission::default());
+fn queued_late_requests_do_not_delay_requests_in_time() {
+    let decision = admission_decision(
+        &router_with_queue(LATE_RANK, 400_000),
+        false,
+        &PoolAdmission::default(),
+    );
     assert_eq!(decision.admission, Admission::InTime);
 }
 
 #[test]
-fn a_caller_that_has_come_back_is_not_refused_again() {
-    let router = waiting(0, 400_000);
+fn a_retry_is_not_refused() {
+    let router = router_with_queue(0, 400_000);
     let settings = PoolAdmission::default();
-    assert_eq!(decide(&router, true, &settings).admission, Admission::Late);
+    assert_eq!(
+        admission_decision(&router, true, &settings).admission,
+        Admission::Late
+    );
     let without_late = PoolAdmission {
         late: false,
         ..settings
     };
-    assert_eq!(decide(&router, true, &without_late).admission, Admission::InTime);
+    assert_eq!(
+        admission_decision(&router, true, &without_late).admission,
+        Admission::InTime
+    );
 }
 
 #[test]
-fn switched_off_everything_is_taken_as_it_comes() {
+fn all_requests_are_admitted_when_admission_control_is_off() {
     let off = PoolAdmission {
         enabled: false,
         ..PoolAdmission::default()
     };
     assert_eq!(
-        decide(&waiting(0, 4_000_000), false, &off).admission,
+        admission_decision(&router_with_queue(0, 4_000_000), false, &off).admission,
         Admission::InTime
     );
 }
 
 #[test]
-fn a_refused_caller_is_told_to_come_back_within_the_bounds() {
+fn retry_after_of_a_refusal_is_within_the_configured_bounds() {
     let settings = PoolAdmission::default();
     for tokens in [400_000, 900_000, 4_000_000] {
-        let Admission::Refused { retry_after } = decide(&waiting(0, tokens), false, &settings).admission
+        let Admission::Refused { retry_after } =
+            admission_decision(&router_with_queue(0, tokens), false, &settings).admission
         else {
-            panic!("{tokens} tokens ahead can't be read in time");
+            panic!("expected a refusal with {tokens} queued tokens");
         };
         let bounds = Duration::from_millis(settings.least_return_millis)
             ..=Duration::from_millis(settings.most_return_millis);
@@ -159,50 +170,55 @@
 }
 
 #[test]
-fn a_full_decode_engine_counts_in_what_is_expected() {
+fn a_full_decode_engine_increases_the_estimate() {
     let expected = |requests| {
         let mut router = router();
         let handle = router.engine(&EngineId::new("d1")).unwrap().handle;
-        let work = PeerWork {
+        let load = PeerWork {
             requests,
             outputs: requests,
             ..PeerWork::default()
         };
-        router.on_peer_load(&NodeId::new("other"), WorkSlice::ALL, &[(handle, work)], NOW);
-        decide(&router, false, &PoolAdmission::default()).expected
+        router.on_peer_load(&NodeId::new("other"), WorkSlice::ALL, &[(handle, load)], NOW);
+        admission_decision(&router, false, &PoolAdmission::default()).expected
     };
-    assert_eq!(expected(0), expected(3), "one place is free");
-    assert!(expected(4) > expected(3), "none is free");
+    assert_eq!(expected(0), expected(3), "one slot is free");
+    assert!(expected(4) > expected(3), "no slot is free");
 }
 
-/// Found in trials on obrocnik-lj: a late hand-over entered the mean, and everything was taken for late for seconds.
+/// A slow handoff of a late request must not raise the estimate for requests in time.
 #[test]
-fn a_late_hand_over_tells_nothing_of_those_in_time() {
+fn handoffs_of_late_requests_do_not_change_the_speeds() {
     let mut router = router();
-    let asked = Asked::new(5_000);
+    let request = TestRequest::new(5_000);
     let before = router.speeds(&pool());
     let late = PoolQuery {
         rank: LATE_RANK,
-        ..asked.query()
+        ..request.query()
     };
     let ticket = router.on_output_sent(&EngineId::new("d1"), &late, KvCacheSource::Transfer, NOW);
-    router.on_output_started(&ticket, &asked.prefixes, NOW + Duration::from_secs(2));
+    router.on_output_started(&ticket, &request.prefixes, NOW + Duration::from_secs(2));
     assert_eq!(router.speeds(&pool()), before);
-    let ticket = router.on_output_sent(&EngineId::new("d1"), &asked.query(), KvCacheSource::Transfer, NOW);
-    router.on_output_started(&ticket, &asked.prefixes, NOW + Duration::from_secs(2));
+    let ticket = router.on_output_sent(
+        &EngineId::new("d1"),
+        &request.query(),
+        KvCacheSource::Transfer,
+        NOW,
+    );
+    router.on_output_started(&ticket, &request.prefixes, NOW + Duration::from_secs(2));
     assert!(router.speeds(&pool()).handoff_seconds > before.handoff_seconds);
 }
 
 #[test]
-fn roles_are_not_planned_by_an_assumed_speed() {
+fn role_planning_requires_a_measured_prefill_speed() {
     let mut router = router();
-    let asked = Asked::new(5_000);
-    let p1 = EngineId::new("p1");
+    let request = TestRequest::new(5_000);
+    let engine = EngineId::new("p1");
     let mut at = NOW;
-    for reading in 0..25 {
+    for prefill in 0..25 {
         let (_, demand) = router.role_input(&pool(), at);
-        assert!(reading >= 20 || demand.prompt_tokens_per_second.is_none());
-        let ticket = router.on_prompt_sent(&p1, &asked.query(), at);
+        assert!(prefill >= 20 || demand.prompt_tokens_per_second.is_none());
+        let ticket = router.on_prompt_sent(&engine, &request.query(), at);
         at = at + Duration::from_millis(60);
         router.on_prompt_prefilled(&ticket, &[], at);
     }
@@ -210,12 +226,12 @@
     assert!(demand.prompt_tokens_per_second.is_some());
 }
 
-/// Found in the log of a quiet day: readings are a straight line, and the estimate believed twice the speed.
+/// Prefill time is linear in the prompt length; the slope and the fixed overhead must both be estimated.
 #[test]
-fn speed_and_fixed_part_are_learned_from_readings_of_several_lengths() {
+fn speed_and_overhead_are_learned_from_prefills_of_different_lengths() {
     let mut speed = PrefillSpeed::assumed(40_000.0);
-    for reading in 0..300 {
-        let tokens = f64::from(1_000 + (reading % 17) * 3_000);
+    for prefill in 0..300 {
+        let tokens = f64::from(1_000 + (prefill % 17) * 3_000);
         speed.observe(tokens, Duration::from_secs_f64(0.008 + tokens / 205_000.0));
     }
     assert!((speed.tokens_per_second() / 205_000.0 - 1.0).abs() < 0.02);
@@ -223,28 +239,31 @@
 }
 
 #[test]
-fn a_few_lost_packets_move_the_line_little() {
+fn a_few_outliers_barely_change_the_prefill_estimate() {
     let mut speed = PrefillSpeed::assumed(200_000.0);
-    for reading in 0..300 {
-        let tokens = f64::from(1_000 + (reading % 17) * 3_000);
-        let lost = if reading % 29 == 7 { 3.0 } else { 0.0 };
-        speed.observe(tokens, Duration::from_secs_f64(0.008 + tokens / 200_000.0 + lost));
+    for prefill in 0..300 {
+        let tokens = f64::from(1_000 + (prefill % 17) * 3_000);
+        let delay = if prefill % 29 == 7 { 3.0 } else { 0.0 };
+        speed.observe(
+            tokens,
+            Duration::from_secs_f64(0.008 + tokens / 200_000.0 + delay),
+        );
     }
     assert!((speed.seconds(20_000.0) / 0.108 - 1.0).abs() < 0.25);
 }
 
 proptest! {
-    /// Found in trials: rounding left a fixed part of -1e-17 seconds, which no duration takes.
+    /// Rounding errors must not yield a negative estimate, which `Duration` rejects.
     #[test]
-    fn no_reading_leads_to_a_negative_or_endless_time(
-        readings in prop::collection::vec((0u32..2_000_000, 0u64..20_000_000), 1..200),
+    fn prefill_estimates_are_finite_and_not_negative(
+        prefills in prop::collection::vec((0u32..2_000_000, 0u64..20_000_000), 1..200),
     ) {
         let mut speed = PrefillSpeed::assumed(40_000.0);
-        for (tokens, micros) in readings {
+        for (tokens, micros) in prefills {
             speed.observe(f64::from(tokens), Duration::from_micros(micros));
-            for asked in [0.0, 1.0, 1e4, 1e9] {
-                let seconds = speed.seconds(asked);
-                prop_assert!(seconds.is_finite() && seconds >= 0.0, "{seconds} for {asked}");
+            for tokens in [0.0, 1.0, 1e4, 1e9] {
+                let seconds = speed.seconds(tokens);
+                prop_assert!(seconds.is_finite() && seconds >= 0.0, "{seconds} for {tokens}");
                 prop_assert!(Duration::try_from_secs_f64(seconds).is_ok());
             }
         }
@@ -252,25 +271,25 @@
 }
 
 #[test]
-fn more_care_asks_for_more_room() {
+fn the_error_factor_rises_with_strictness() {
     let mut error = EstimateError::default();
     for ratio in (0..2_000).map(|number| 50 + number % 100) {
         error.observe(Duration::from_millis(980), Duration::from_millis(ratio * 10 - 20));
     }
     assert!(error.factor(0.0) < error.factor(0.5) && error.factor(0.5) < error.factor(1.0));
     assert_eq!(error.factor(1.0), error.factor(9.0));
-    let mut turned_away = RejectionRate::default();
-    (0..40).for_each(|_| turned_away.observe(true));
-    assert!(turned_away.share() > 0.8);
-    (0..80).for_each(|_| turned_away.observe(false));
-    assert!(turned_away.share() < 0.05);
+    let mut rejections = RejectionRate::default();
+    (0..40).for_each(|_| rejections.observe(true));
+    assert!(rejections.share() > 0.8);
+    (0..80).for_each(|_| rejections.observe(false));
+    assert!(rejections.share() < 0.05);
 }
 
 #[test]
-fn reading_beside_outputs_is_harmful_only_where_pauses_come_near_the_longest() {
-    let harm = |part: f64| {
-        let mut speeds = PoolSpeeds::assumed(SPEED, 0.5);
-        (0..500).for_each(|_| speeds.pauses.observe(part));
+fn concurrent_prefill_is_harmful_only_if_pauses_approach_the_limit() {
+    let harm = |fraction: f64| {
+        let mut speeds = PoolSpeeds::assumed(PREFILL_TOKENS_PER_SECOND, 0.5);
+        (0..500).for_each(|_| speeds.pauses.observe(fraction));
         speeds.pauses.harm()
     };
     assert_eq!(harm(0.2), 0.0);
@@ -279,7 +298,7 @@
 }
 
 #[test]
-fn callers_with_much_less_time_than_others_on_the_route_have_come_back() {
+fn callers_with_much_less_remaining_time_than_others_on_the_route_are_retries() {
     let mut waits = CallerWaits::default();
     let (route, other) = (RouteId("a".to_owned()), RouteId("b".to_owned()));
     let millis = Duration::from_millis;
@@ -288,13 +307,13 @@
     assert!(waits.has_returned(&route, millis(1_500)));
     assert!(
         !waits.has_returned(&other, millis(1_500)),
-        "each route on its own"
+        "routes are independent"
     );
     (0..500).for_each(|_| {
         waits.has_returned(&route, millis(1_000));
     });
     assert!(
         !waits.has_returned(&route, millis(1_000)),
-        "callers wait less than they did"
+        "the callers of the route now have shorter timeouts"
     );
 }
--- a/crates/core/tests/pool_pauses.rs
+++ b/crates/core/tests/pool_pauses.rs
@@ -1,11 +1,11 @@
-//! Pauses of streams: what is expected of them, and how many streams keep their pace under the choices made by it.
+//! Pauses of streams: the forecast, its effect on the choice of engines, and how many streams keep to their bound.
 
 #![allow(clippy::unwrap_used)]
 
 mod pauses_world;
 mod pool_support;
 
-use pauses_world::{Setup, Streams, play};
+use pauses_world::{Setup, Streams, simulate};
 use pool_support::{engine_with, pool, router_with};
 use shelfjunction_core::identity::{EngineId, NodeId, ZoneId};
 use shelfjunction_core::routing::pool::pauses::{
@@ -22,7 +22,7 @@
 const BOUND: Duration = Duration::from_millis(200);
 const PAUSE_SECONDS: f64 = 0.2;
 
-fn foreseeing() -> PoolWeights {
+fn weights_with_forecast() -> PoolWeights {
     PoolWeights {
         pause_seconds: PAUSE_SECONDS,
         ..PoolWeights::default()
@@ -42,33 +42,33 @@
     }
 
     #[test]
-    fn a_pause_is_an_event_and_the_reading_beside_it_times_the_engines_factor() {
-        let usual = forecast(1.0);
-        assert!((usual.pause(0.0) - 0.050).abs() < 1e-9);
-        assert!((usual.pause(3_000.0) - 0.160).abs() < 1e-9);
+    fn a_pause_is_the_event_interval_plus_prefill_times_the_work_factor() {
+        let average = forecast(1.0);
+        assert!((average.pause(0.0) - 0.050).abs() < 1e-9);
+        assert!((average.pause(3_000.0) - 0.160).abs() < 1e-9);
         assert!((forecast(4.0).pause(0.0) - 0.200).abs() < 1e-9);
     }
 
     #[test]
-    fn what_was_read_of_late_still_counts_and_fades() {
-        let mut lately = RecentPrefill::default();
-        assert!(lately.tokens(NOW) == 0.0);
-        lately.observe(9_000.0, NOW);
-        lately.observe(1_000.0, NOW + Duration::from_millis(100));
-        let after = |millis| lately.tokens(NOW + Duration::from_millis(millis));
-        assert!(after(100) > 7_000.0, "a lesser reading does not hide it");
+    fn the_recent_prefill_peak_counts_and_decays() {
+        let mut recent = RecentPrefill::default();
+        assert!(recent.tokens(NOW) == 0.0);
+        recent.observe(9_000.0, NOW);
+        recent.observe(1_000.0, NOW + Duration::from_millis(100));
+        let after = |millis| recent.tokens(NOW + Duration::from_millis(millis));
+        assert!(after(100) > 7_000.0, "a smaller value does not replace the peak");
         assert!(after(3_000) < 50.0);
-        let reader = PauseForecast {
+        let busy = PauseForecast {
             recent_prefill_tokens: after(100),
             ..forecast(1.0)
         };
         let none = EngineLoad::default();
-        assert!(reader.own_late_probability(none.all_prompt_tokens(), Some(BOUND)) > 0.8);
+        assert!(busy.own_late_probability(none.all_prompt_tokens(), Some(BOUND)) > 0.8);
         assert!(forecast(1.0).own_late_probability(none.all_prompt_tokens(), Some(BOUND)) < 0.01);
     }
 
     #[test]
-    fn the_share_late_grows_steeply_towards_the_bound_and_ends_at_one() {
+    fn the_late_probability_rises_steeply_near_the_bound_and_is_at_most_one() {
         assert!(late_probability(0.100, BOUND) < 0.07);
         assert!((late_probability(0.200, BOUND) - 0.5).abs() < 1e-9);
         assert!(late_probability(0.400, BOUND) > 0.9);
@@ -77,63 +77,67 @@
     }
 
     #[test]
-    fn only_streams_that_a_reading_makes_late_are_counted() {
-        let keeping_pace = EngineLoad {
+    fn only_streams_that_become_late_by_the_prefill_are_counted() {
+        let in_time = EngineLoad {
             outputs: 6.0,
             streams: 6.0,
             min_event_gap_limit: Some(BOUND),
             ..EngineLoad::default()
         };
-        let late_already = EngineLoad {
+        let already_late = EngineLoad {
             prompt_tokens: [0.0, 40_000.0, 0.0, 0.0],
-            ..keeping_pace
+            ..in_time
         };
         let no_bound = EngineLoad {
             min_event_gap_limit: None,
-            ..keeping_pace
+            ..in_time
         };
-        let made_late = |work: &EngineLoad| forecast(1.0).added_late_streams(work, 8_000.0, Some(0.0));
-        assert!(made_late(&keeping_pace) > 4.0);
-        assert!(made_late(&late_already) < 0.1);
-        assert!(made_late(&no_bound) == 0.0);
+        let added_late = |load: &EngineLoad| forecast(1.0).added_late_streams(load, 8_000.0, Some(0.0));
+        assert!(added_late(&in_time) > 4.0);
+        assert!(added_late(&already_late) < 0.1);
+        assert!(added_late(&no_bound) == 0.0);
     }
 
     #[test]
-    fn the_pace_follows_what_is_seen_and_one_long_pause_moves_it_little() {
-        let mut pace = EventInterval::default();
-        (0..50).for_each(|_| pace.observe(0.050));
-        pace.observe(5.0);
-        assert!(pace.seconds() < 0.055, "{}", pace.seconds());
+    fn the_event_interval_follows_observations_and_limits_outliers() {
+        let mut interval = EventInterval::default();
+        (0..50).for_each(|_| interval.observe(0.050));
+        interval.observe(5.0);
+        assert!(interval.seconds() < 0.055, "{}", interval.seconds());
     }
 }
 
 mod choice {
     use super::*;
 
-    /// One engine that reads and one that runs six streams of another node.
-    fn beside_streams(weights: PoolWeights, bound_millis: u32) -> PoolRouter {
+    /// A router with one prefill engine and one decode engine that runs six streams of another node.
+    fn router_with_streams(weights: PoolWeights, bound_millis: u32) -> PoolRouter {
         let engines = [
             engine_with("p1", EngineStage::Prefill, 64),
             engine_with("d1", EngineStage::Decode, 64),
         ];
         let mut router = router_with(weights, 64, Some(1e-7), &engines);
         let handle = router.engine(&EngineId::new("d1")).unwrap().handle;
-        let work = PeerWork {
+        let load = PeerWork {
             requests: 6,
             outputs: 6,
             streams: if bound_millis > 0 { 6 } else { 0 },
             shortest_bound_millis: bound_millis,
             ..PeerWork::default()
         };
-        router.on_peer_load(&NodeId::new("other"), WorkSlice::ALL, &[(handle, work)], NOW);
+        router.on_peer_load(&NodeId::new("other"), WorkSlice::ALL, &[(handle, load)], NOW);
         router
     }
 
     fn route(router: &PoolRouter, tokens: u32, max_event_gap: Option<Duration>) -> PoolRoute {
-        asked(tokens, max_event_gap, |query| router.choose(query, NOW))
+        with_query(tokens, max_event_gap, |query| router.choose(query, NOW))
     }
 
-    fn asked<T>(tokens: u32, max_event_gap: Option<Duration>, ask: impl FnOnce(&PoolQuery<'_>) -> T) -> T {
+    fn with_query<T>(
+        tokens: u32,
+        max_event_gap: Option<Duration>,
+        call: impl FnOnce(&PoolQuery<'_>) -> T,
+    ) -> T {
         let prompt = PromptShape {
             model: "m".to_owned(),
             parts: vec![PromptPart { name: 1, tokens }],
@@ -158,91 +162,94 @@
             remaining: Duration::from_secs(5),
             slot_max_wait: Duration::ZERO,
         };
-        ask(&query)
+        call(&query)
     }
 
     #[test]
-    fn nodes_tell_how_many_streams_keep_their_pace_and_the_shortest_bound() {
-        let mut one = beside_streams(foreseeing(), 0);
-        let mut other = one.clone();
+    fn nodes_report_the_streams_that_keep_to_their_bound_and_the_shortest_bound() {
+        let mut sender = router_with_streams(weights_with_forecast(), 0);
+        let mut peer = sender.clone();
         let engine = EngineId::new("d1");
         let mut send = |bound_millis| {
             let bound = Some(Duration::from_millis(bound_millis));
-            asked(0, bound, |query| {
-                one.on_output_sent(&engine, query, KvCacheSource::Transfer, NOW)
+            with_query(0, bound, |query| {
+                sender.on_output_sent(&engine, query, KvCacheSource::Transfer, NOW)
             })
         };
         let (_, strict) = (send(300), send(200));
-        let mut heard = |one: &PoolRouter| {
-            other.on_peer_load(&NodeId::new("one"), WorkSlice::ALL, &one.own_load(), NOW);
-            let work = other.engine(&engine).unwrap().load(NOW);
-            (work.streams, work.min_event_gap_limit)
+        let mut received = |sender: &PoolRouter| {
+            peer.on_peer_load(&NodeId::new("one"), WorkSlice::ALL, &sender.own_load(), NOW);
+            let load = peer.engine(&engine).unwrap().load(NOW);
+            (load.streams, load.min_event_gap_limit)
         };
-        assert_eq!(heard(&one), (2.0, Some(Duration::from_millis(200))));
-        one.on_event_gap_exceeded(&strict);
-        assert_eq!(heard(&one), (1.0, Some(Duration::from_millis(300))));
+        assert_eq!(received(&sender), (2.0, Some(Duration::from_millis(200))));
+        sender.on_event_gap_exceeded(&strict);
+        assert_eq!(received(&sender), (1.0, Some(Duration::from_millis(300))));
     }
 
     #[test]
-    fn a_prompt_is_read_apart_where_streams_that_another_node_told_of_would_pause_too_long() {
-        // A hand-over costs more than reading beside outputs, but for the pauses.
-        let beside = |pause_seconds| PoolWeights {
+    fn a_prompt_is_prefilled_separately_if_streams_of_another_node_would_pause_too_long() {
+        // Without the cost of pauses, prefill at the decode engine is cheaper than a handoff.
+        let weights = |pause_seconds| PoolWeights {
             pause_seconds,
             decode_reading_pace: 1.0,
             decode_reading_stall: 0.0,
             decode_reading_harm: 0.0,
             ..PoolWeights::default()
         };
-        let without = beside_streams(beside(0.0), 200);
+        let without = router_with_streams(weights(0.0), 200);
         assert!(matches!(route(&without, 5_000, None), PoolRoute::Whole(_)));
-        let foreseen = beside_streams(beside(PAUSE_SECONDS), 200);
-        assert!(matches!(route(&foreseen, 5_000, None), PoolRoute::Split { .. }));
-        let generous = beside_streams(beside(PAUSE_SECONDS), 5_000);
+        let with_forecast = router_with_streams(weights(PAUSE_SECONDS), 200);
+        assert!(matches!(
+            route(&with_forecast, 5_000, None),
+            PoolRoute::Split { .. }
+        ));
+        let generous = router_with_streams(weights(PAUSE_SECONDS), 5_000);
         assert!(matches!(route(&generous, 5_000, None), PoolRoute::Whole(_)));
     }
 
     #[test]
-    fn a_reading_too_large_for_every_bound_still_goes_somewhere() {
+    fn a_prompt_that_exceeds_every_bound_is_still_placed() {
         let engines = [engine_with("d1", EngineStage::Decode, 64)];
-        let mut router = router_with(foreseeing(), 64, Some(1e-7), &engines);
+        let mut router = router_with(weights_with_forecast(), 64, Some(1e-7), &engines);
         let handle = router.engine(&EngineId::new("d1")).unwrap().handle;
-        let work = PeerWork {
+        let load = PeerWork {
             requests: 60,
             outputs: 60,
             streams: 60,
             shortest_bound_millis: 1,
             ..PeerWork::default()
         };
-        router.on_peer_load(&NodeId::new("other"), WorkSlice::ALL, &[(handle, work)], NOW);
+        router.on_peer_load(&NodeId::new("other"), WorkSlice::ALL, &[(handle, load)], NOW);
         let bound = Some(Duration::from_millis(1));
         assert!(matches!(route(&router, 4_000_000, bound), PoolRoute::Whole(_)));
     }
 
     #[test]
-    fn a_bound_that_nobody_names_changes_nothing() {
-        let (plain, foreseen) = (
-            beside_streams(PoolWeights::default(), 0),
-            beside_streams(foreseeing(), 0),
+    fn without_a_bound_the_forecast_does_not_change_routes() {
+        let (plain, with_forecast) = (
+            router_with_streams(PoolWeights::default(), 0),
+            router_with_streams(weights_with_forecast(), 0),
         );
         for tokens in [100, 500, 1_000, 1_500, 3_000, 10_000, 50_000] {
-            assert_eq!(route(&plain, tokens, None), route(&foreseen, tokens, None));
+            assert_eq!(route(&plain, tokens, None), route(&with_forecast, tokens, None));
         }
     }
 
     #[test]
-    fn the_setting_is_checked() {
-        let wrong = PoolWeights {
+    fn a_negative_weight_is_rejected() {
+        let weights = PoolWeights {
             pause_seconds: -0.1,
             ..PoolWeights::default()
         };
-        let errors = wrong.validate();
+        let errors = weights.validate();
         assert_eq!(errors.len(), 1);
         assert_eq!(errors[0].field, "routing.pause_seconds");
         assert_eq!(errors[0].value, "-0.1");
     }
 }
 
-mod in_virtual_time {
+mod simulation {
     use super::*;
 
     const SEEDS: std::ops::RangeInclusive<u64> = 1..=4;
@@ -250,22 +257,22 @@
     fn setup(weights: PoolWeights, bound: Option<Duration>, seed: u64) -> Setup {
         Setup {
             nodes: 6,
-            reading_engines: vec![1.0; 5],
+            prefill_engine_factors: vec![1.0; 5],
             busy_share: 0.0,
-            output_engines: vec![1.0, 1.0, 1.0, 1.0, 1.5, 1.5, 2.0, 2.0, 3.0, 4.0],
+            decode_engine_factors: vec![1.0, 1.0, 1.0, 1.0, 1.5, 1.5, 2.0, 2.0, 3.0, 4.0],
             requests_per_second: 75.0,
             seconds: 20,
             bound,
-            first_event_within: Duration::from_millis(400),
+            first_event_timeout: Duration::from_millis(400),
             weights,
             seed,
         }
     }
 
-    /// The runs of several seeds, without and with pauses foreseen.
-    fn both(change: impl Fn(Setup) -> Setup) -> [Vec<Streams>; 2] {
-        [PoolWeights::default(), foreseeing()].map(|weights| {
-            let run = |seed| play(change(setup(weights.clone(), Some(BOUND), seed)));
+    /// Runs each seed without and with the pause forecast.
+    fn run_without_and_with_forecast(change: impl Fn(Setup) -> Setup) -> [Vec<Streams>; 2] {
+        [PoolWeights::default(), weights_with_forecast()].map(|weights| {
+            let run = |seed| simulate(change(setup(weights.clone(), Some(BOUND), seed)));
             SEEDS.map(run).collect()
         })
     }
@@ -283,16 +290,16 @@
     }
 
     #[test]
-    fn fewer_streams_pause_too_long_and_fewer_are_late_in_all() {
-        let [before, after] = both(|setup| setup);
+    fn the_forecast_reduces_late_streams() {
+        let [before, after] = run_without_and_with_forecast(|setup| setup);
         let [pause_before, first_before, late_before] = shares(&before);
         let [pause_after, first_after, late_after] = shares(&after);
         println!("late by a pause {pause_before:.3} to {pause_after:.3}");
         println!("late by the first event {first_before:.3} to {first_after:.3}");
         println!("late {late_before:.3} to {late_after:.3}");
         for (before, after) in before.iter().zip(&after) {
-            assert_eq!(after.nowhere, 0);
-            assert_eq!(before.ended, after.ended, "every stream ends");
+            assert_eq!(after.not_placed, 0);
+            assert_eq!(before.completed, after.completed, "every stream completes");
         }
         assert!(pause_after < 0.7 * pause_before);
         assert!(first_after < first_before + 0.01);
@@ -300,24 +307,24 @@
     }
 
     #[test]
-    fn where_nothing_can_be_read_apart_in_time_little_is_lost_by_trying() {
-        let [before, after] = both(|setup| Setup {
-            reading_engines: vec![1.0; 4],
+    fn the_forecast_costs_little_when_the_prefill_engines_are_overloaded() {
+        let [before, after] = run_without_and_with_forecast(|setup| Setup {
+            prefill_engine_factors: vec![1.0; 4],
             requests_per_second: 90.0,
             ..setup
         });
         let (late_before, late_after) = (shares(&before)[2], shares(&after)[2]);
         println!("late {late_before:.3} to {late_after:.3}");
-        assert!(late_before > 0.5, "an overload");
+        assert!(late_before > 0.5, "the load must exceed the capacity");
         assert!(late_after < late_before + 0.03);
-        assert!(after.iter().all(|streams| streams.nowhere == 0));
+        assert!(after.iter().all(|streams| streams.not_placed == 0));
     }
 
     #[test]
-    fn without_a_bound_every_choice_is_the_same() {
-        let before = play(setup(PoolWeights::default(), None, 5));
-        let after = play(setup(foreseeing(), None, 5));
-        assert!(before.ended > 1_000);
+    fn without_a_bound_the_forecast_does_not_change_the_simulation() {
+        let before = simulate(setup(PoolWeights::default(), None, 5));
+        let after = simulate(setup(weights_with_forecast(), None, 5));
+        assert!(before.completed > 1_000);
         assert_eq!(before, after);
     }
 }
