--- a/crates/core/src/routing/pool/choice.rs
+++ b/crates/core/src/routing/pool/choice.rs
@@ -252,7 +252,7 @@
             state.engine.stage == stage
                 && state.engine.pool == *query.pool
                 && state.takes_work(now, query.last_resort)
-                && state.has_slot(query.slot_max_wait, now)
+                && state.has_rate_limit_slot(query.slot_max_wait, now)
                 && state.backoff_admits(query, now)
                 && (query.last_resort || state.health.admits(query.draw ^ state.handle.number(), now))
                 && self.reaches(query, &state.engine.zone, now)
--- a/crates/core/src/routing/pool/cordons.rs
+++ b/crates/core/src/routing/pool/cordons.rs
@@ -99,7 +99,7 @@
     }
 
     /// Applies the active cordons to a newly listed engine.
-    pub(super) fn note_cordon(&mut self, engine: &EngineId) {
+    pub(super) fn apply_cordons_to(&mut self, engine: &EngineId) {
         if let Some(state) = self.engines.get_mut(engine) {
             state.cordon = combine_cordons(&self.cordons, state);
         }
--- a/crates/core/src/routing/pool/limits.rs
+++ b/crates/core/src/routing/pool/limits.rs
@@ -48,7 +48,7 @@
         self.limit.slot_wait(now)
     }
 
-    pub(super) fn has_slot(&self, max_wait: Duration, now: MonotonicTime) -> bool {
+    pub(super) fn has_rate_limit_slot(&self, max_wait: Duration, now: MonotonicTime) -> bool {
         self.slot_wait(now) <= max_wait
     }
 
--- a/crates/core/src/routing/pool/paths.rs
+++ b/crates/core/src/routing/pool/paths.rs
@@ -92,7 +92,7 @@
         trial_interval: Duration,
     },
     Recovering {
-        returning: SlowStart,
+        slow_start: SlowStart,
     },
 }
 
@@ -220,9 +220,9 @@
     }
 
     /// Whether KV caches may be transferred between two zones: no path between them is suspected.
-    pub fn allows_transfer(&self, one: &ZoneId, other: &ZoneId) -> bool {
+    pub fn allows_transfer(&self, zone: &ZoneId, other_zone: &ZoneId) -> bool {
         let mut suspected = self.paths.iter().filter(|path| path.is_suspected());
-        !suspected.any(|path| path.connects(one, other))
+        !suspected.any(|path| path.connects(zone, other_zone))
     }
 
     /// Takes the state changes since the last call.
@@ -280,7 +280,7 @@
         match self.phase {
             Phase::Trusted => true,
             Phase::Suspected { next_trial_at, .. } => may_be_trial && now >= next_trial_at,
-            Phase::Recovering { returning, .. } => returning.admits(draw, now),
+            Phase::Recovering { slow_start, .. } => slow_start.admits(draw, now),
         }
     }
 
@@ -331,13 +331,13 @@
         self.answered_at = self.answered_at.max(now);
         let change = match self.phase {
             Phase::Suspected { since, .. } if now > since => {
-                let returning = SlowStart::begin(now);
-                self.phase = Phase::Recovering { returning };
+                let slow_start = SlowStart::begin(now);
+                self.phase = Phase::Recovering { slow_start };
                 Some(self.change(PathState::Recovering, now.since(since)))
             }
-            Phase::Recovering { returning } if returning.is_complete(now) => {
+            Phase::Recovering { slow_start } if slow_start.is_complete(now) => {
                 self.phase = Phase::Trusted;
-                Some(self.change(PathState::Trusted, returning.elapsed(now)))
+                Some(self.change(PathState::Trusted, slow_start.elapsed(now)))
             }
             _ => None,
         };
--- a/crates/core/src/routing/pool/router.rs
+++ b/crates/core/src/routing/pool/router.rs
@@ -111,7 +111,7 @@
                 self.engines.insert(id.clone(), state);
             }
         }
-        self.note_cordon(&id);
+        self.apply_cordons_to(&id);
     }
 
     /// Notes that the platform lists an engine no longer; `doubtful` where the store was in trouble just before, so
