--- a/crates/core/src/routing/pool/admission.rs
+++ b/crates/core/src/routing/pool/admission.rs
@@ -21,9 +21,9 @@
 
 use super::choice::PoolRoute;
 use super::engine::PoolEngine;
-use super::prefill_speed::PrefillSpeed;
 use super::query::{PoolQuery, PromptShape};
 use super::router::PoolRouter;
+use super::speed::PrefillSpeed;
 use crate::membership::subject::mix;
 use crate::setting::FieldError;
 use crate::sharing::{Charge, SharingSettings, Standing, TenantRequest};
@@ -195,7 +195,7 @@
             admission: Admission::InTime,
             route,
             expected: Duration::ZERO,
-            error: speeds.error.factor(strictness),
+            error: speeds.estimate_error.factor(strictness),
             late_or_refused_share: speeds.rejection_rate.share(),
             misses_target: false,
             queue_share: None,
@@ -372,6 +372,6 @@
     pub fn on_first_event(&mut self, query: &PoolQuery<'_>, expected: Duration, took: Duration) {
         let default_speeds = self.assumed_speeds();
         let speeds = self.speeds.entry(query.pool.clone()).or_insert(default_speeds);
-        speeds.error.observe(expected, took);
+        speeds.estimate_error.observe(expected, took);
     }
 }
--- a/crates/core/src/routing/pool/pace/router.rs
+++ b/crates/core/src/routing/pool/pace/router.rs
@@ -82,7 +82,7 @@
             return;
         };
         // A late report of an engine that is leaving does not apply to the remaining ones, such as a later start of it.
-        let Some(state) = self.engines.get_mut(engine).filter(|state| state.stays()) else {
+        let Some(state) = self.engines.get_mut(engine).filter(|state| state.is_active()) else {
             return;
         };
         let pool_pace = self.paces.entry(state.engine.pool.clone()).or_default();
@@ -180,17 +180,17 @@
         work: &InFlightWork,
         now: MonotonicTime,
     ) {
-        let Some(begun_at) = work.begun_at else {
+        let Some(first_event_at) = work.first_event_at else {
             return;
         };
         let Some(state) = self.engines.get(engine) else {
             return;
         };
-        let took = now.since(begun_at);
+        let took = now.since(first_event_at);
         if !state.pace.in_use || work.output_tokens < MIN_OUTPUT_TOKENS || took < MIN_OUTPUT_DURATION {
             return;
         }
-        let momentary = (work.momentary + state.pace.momentary_factor(now)) / 2.0;
+        let momentary = (work.momentary_pace + state.pace.momentary_factor(now)) / 2.0;
         let factor = momentary * state.pace.lasting.factor();
         let tokens = f64::from(work.output_tokens);
         let pool_pace = self.paces.entry(state.engine.pool.clone()).or_default();
@@ -222,7 +222,7 @@
     pub(in crate::routing::pool) fn mean_relative_speed(&self, pool: &PoolId) -> f64 {
         let engines = self.engines.values().filter(|state| state.engine.pool == *pool);
         let speeds: Vec<f64> = engines
-            .filter(|state| state.pace.in_use && state.stays())
+            .filter(|state| state.pace.in_use && state.is_active())
             .map(|state| 1.0 / state.pace.average_factor())
             .collect();
         if speeds.is_empty() {
--- a/crates/core/src/routing/pool/paths.rs
+++ b/crates/core/src/routing/pool/paths.rs
@@ -335,7 +335,7 @@
                 self.phase = Phase::Recovering { slow_start };
                 Some(self.change(PathState::Recovering, now.since(since)))
             }
-            Phase::Recovering { slow_start } if slow_start.is_complete(now) => {
+            Phase::Recovering { slow_start } if slow_start.is_over(now) => {
                 self.phase = Phase::Trusted;
                 Some(self.change(PathState::Trusted, slow_start.elapsed(now)))
             }
--- a/crates/core/tests/engine_starts.rs
+++ b/crates/core/tests/engine_starts.rs
@@ -190,8 +190,8 @@
     node.apply_change(3, listed(2), false, at(120));
     assert_eq!(node.router.taking_work(at(120)), 1);
     assert_eq!(chosen(node.answer(1, 1, at(121))), Some(handle(2)));
-    assert!(node.state(1).has_later_start() && !node.state(1).stays());
-    assert!(!node.state(1).is_about_to_leave());
+    assert!(node.state(1).has_later_start() && !node.state(1).is_active());
+    assert!(!node.state(1).is_draining());
 }
 
 #[test]
@@ -262,7 +262,7 @@
             .on_peer_load(&peer, WorkSlice::ALL, &[(handle(1), load)], at(113));
         node.router.on_prefix_updates(&[prefix_update(1)], at(114));
         node.router
-            .on_ordered(&[(handle(1), EngineStage::Prefill)], at(115));
+            .on_stage_orders(&[(handle(1), EngineStage::Prefill)], at(115));
         node.apply_change(3, listed(1), false, at(116));
         node.apply_change(4, gone(1), false, at(117));
         let now = at(118);
--- a/crates/core/tests/pool_admission.rs
+++ b/crates/core/tests/pool_admission.rs
@@ -216,20 +216,20 @@
     let engine = EngineId::new("p1");
     let mut at = NOW;
     for prefill in 0..25 {
-        let (_, demand) = router.role_input(&pool(), at);
+        let (_, demand) = router.role_planner_input(&pool(), at);
         assert!(prefill >= 20 || demand.prompt_tokens_per_second.is_none());
         let ticket = router.on_prompt_sent(&engine, &request.query(), at);
         at = at + Duration::from_millis(60);
         router.on_prompt_prefilled(&ticket, &[], at);
     }
-    let (_, demand) = router.role_input(&pool(), at);
+    let (_, demand) = router.role_planner_input(&pool(), at);
     assert!(demand.prompt_tokens_per_second.is_some());
 }
 
 /// Prefill time is linear in the prompt length; the slope and the fixed overhead must both be estimated.
 #[test]
 fn speed_and_overhead_are_learned_from_prefills_of_different_lengths() {
-    let mut speed = PrefillSpeed::assumed(40_000.0);
+    let mut speed = PrefillSpeed::with_initial_speed(40_000.0);
     for prefill in 0..300 {
         let tokens = f64::from(1_000 + (prefill % 17) * 3_000);
         speed.observe(tokens, Duration::from_secs_f64(0.008 + tokens / 205_000.0));
@@ -240,7 +240,7 @@
 
 #[test]
 fn a_few_outliers_barely_change_the_prefill_estimate() {
-    let mut speed = PrefillSpeed::assumed(200_000.0);
+    let mut speed = PrefillSpeed::with_initial_speed(200_000.0);
     for prefill in 0..300 {
         let tokens = f64::from(1_000 + (prefill % 17) * 3_000);
         let delay = if prefill % 29 == 7 { 3.0 } else { 0.0 };
@@ -258,7 +258,7 @@
     fn prefill_estimates_are_finite_and_not_negative(
         prefills in prop::collection::vec((0u32..2_000_000, 0u64..20_000_000), 1..200),
     ) {
-        let mut speed = PrefillSpeed::assumed(40_000.0);
+        let mut speed = PrefillSpeed::with_initial_speed(40_000.0);
         for (tokens, micros) in prefills {
             speed.observe(f64::from(tokens), Duration::from_micros(micros));
             for tokens in [0.0, 1.0, 1e4, 1e9] {
@@ -288,7 +288,7 @@
 #[test]
 fn concurrent_prefill_is_harmful_only_if_pauses_approach_the_limit() {
     let harm = |fraction: f64| {
-        let mut speeds = PoolSpeeds::assumed(PREFILL_TOKENS_PER_SECOND, 0.5);
+        let mut speeds = PoolSpeeds::with_initial_speed(PREFILL_TOKENS_PER_SECOND, 0.5);
         (0..500).for_each(|_| speeds.pauses.observe(fraction));
         speeds.pauses.harm()
     };
