--- a/crates/core/src/routing/pool/peers.rs
+++ b/crates/core/src/routing/pool/peers.rs
@@ -1,7 +1,7 @@
 //! Exchange between peers: load, demand, stage orders and the prefix blocks that engines hold.
 
-use super::beliefs::{PeerWork, PrefixNews, WorkSlice};
 use super::engine::EngineStage;
+use super::peer_reports::{PeerLoad, PeerLoadSlice, PrefixUpdate};
 use super::query::PrefixBlock;
 use super::router::PoolRouter;
 use crate::forwarding::PoolId;
@@ -20,12 +20,12 @@
     pub fn on_peer_load(
         &mut self,
         peer: &NodeId,
-        slice: WorkSlice,
-        loads: &[(SubjectHandle, PeerWork)],
+        slice: PeerLoadSlice,
+        loads: &[(SubjectHandle, PeerLoad)],
         now: MonotonicTime,
     ) {
         let reported: Vec<SubjectHandle> = loads.iter().map(|(handle, _)| *handle).collect();
-        let before = self.named_by.entry(peer.clone()).or_default();
+        let before = self.engines_reported_by.entry(peer.clone()).or_default();
         let (dropped, kept): (Vec<_>, Vec<_>) = before
             .iter()
             .filter(|handle| !reported.contains(handle))
@@ -49,7 +49,7 @@
     }
 
     /// This node's own load in the form sent to peers; engines without in-flight requests of this node are omitted.
-    pub fn own_load(&self) -> Vec<(SubjectHandle, PeerWork)> {
+    pub fn own_load(&self) -> Vec<(SubjectHandle, PeerLoad)> {
         self.engines
             .values()
             .filter(|state| !state.in_flight.is_empty())
@@ -130,14 +130,14 @@
     }
 
     /// Applies a peer's updates about prefix blocks that engines hold.
-    pub fn on_prefix_updates(&mut self, updates: &[PrefixNews], now: MonotonicTime) {
+    pub fn on_prefix_updates(&mut self, updates: &[PrefixUpdate], now: MonotonicTime) {
         for update in updates {
             if let Some(state) = self.state_of(update.engine) {
                 if update.just_answered {
                     state.record_answer(now);
                 }
                 let is_restored = update.just_answered && state.health.on_peer_success(now);
-                state.prefixes.note_read(&update.prefixes, now);
+                state.prefixes.record_prefill(&update.prefixes, now);
                 let engine = is_restored.then(|| state.engine.id.clone());
                 if let Some(engine) = engine {
                     self.record_availability_change(engine, None, true);
@@ -151,8 +151,8 @@
         let Some(state) = self.engines.get_mut(engine) else {
             return;
         };
-        state.prefixes.note_read(held, now);
-        let updates = held.chunks(MAX_BLOCKS_PER_UPDATE).map(|prefixes| PrefixNews {
+        state.prefixes.record_prefill(held, now);
+        let updates = held.chunks(MAX_BLOCKS_PER_UPDATE).map(|prefixes| PrefixUpdate {
             engine: state.handle,
             prefixes: prefixes.to_vec(),
             just_answered: false,
@@ -161,11 +161,11 @@
     }
 
     /// All prefix blocks that engines are estimated to hold, for a node that has just started.
-    pub fn prefix_snapshot(&self) -> Vec<PrefixNews> {
+    pub fn prefix_snapshot(&self) -> Vec<PrefixUpdate> {
         self.engines
             .values()
             .filter(|state| !state.prefixes.is_empty())
-            .map(|state| PrefixNews {
+            .map(|state| PrefixUpdate {
                 engine: state.handle,
                 prefixes: state.prefixes.blocks(),
                 just_answered: false,
@@ -174,7 +174,7 @@
     }
 
     /// Takes up to `max_updates` queued prefix updates for peers; the rest stays queued.
-    pub fn take_prefix_updates(&mut self, max_updates: usize) -> Vec<PrefixNews> {
+    pub fn take_prefix_updates(&mut self, max_updates: usize) -> Vec<PrefixUpdate> {
         let rest = self
             .prefix_updates
             .split_off(max_updates.min(self.prefix_updates.len()));
--- a/crates/core/tests/engine_starts.rs
+++ b/crates/core/tests/engine_starts.rs
@@ -16,9 +16,9 @@
 use shelfjunction_core::quarantine::config::QuarantineSettings;
 use shelfjunction_core::quarantine::{Asked, Fingerprint, Quarantine, Standing};
 use shelfjunction_core::routing::pool::{
-    ActiveCordon, AvoidanceReason, EngineListing, EngineStage, EngineState, ListChange, PeerWork,
-    PoolAdmission, PoolEngine, PoolRouter, PoolWeights, PrefixNews, PromptPart, PromptShape, ReportedLoad,
-    RequestTerms, WorkSlice,
+    ActiveCordon, AvoidanceReason, EngineListing, EngineStage, EngineState, ListChange, PeerLoad,
+    PeerLoadSlice, PoolAdmission, PoolEngine, PoolRouter, PoolWeights, PrefixUpdate, PromptPart, PromptShape,
+    ReportedLoad, RequestConstraints,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -136,7 +136,7 @@
             output_estimate: None,
         },
         zone: ZoneId::new("zone-a"),
-        terms: RequestTerms::default(),
+        constraints: RequestConstraints::default(),
         rank: 1,
         remaining: Duration::from_secs(4),
     }
@@ -153,8 +153,8 @@
     SubjectHandle::of_engine(&id(start))
 }
 
-fn prefix_update(start: u64) -> PrefixNews {
-    PrefixNews {
+fn prefix_update(start: u64) -> PrefixUpdate {
+    PrefixUpdate {
         engine: handle(start),
         prefixes: request().prompt.prefixes(),
         just_answered: true,
@@ -183,12 +183,12 @@
     let mut node = Node::new();
     node.apply_change(2, gone_by_name(), true, at(100));
     assert_eq!(
-        node.router.taking_work(at(110)),
+        node.router.engines_taking_work(at(110)),
         1,
         "the entry may only have expired"
     );
     node.apply_change(3, listed(2), false, at(120));
-    assert_eq!(node.router.taking_work(at(120)), 1);
+    assert_eq!(node.router.engines_taking_work(at(120)), 1);
     assert_eq!(chosen(node.answer(1, 1, at(121))), Some(handle(2)));
     assert!(node.state(1).has_later_start() && !node.state(1).is_active());
     assert!(!node.state(1).is_draining());
@@ -199,13 +199,13 @@
     let mut node = Node::new();
     node.apply_change(2, gone_by_name(), true, at(100));
     node.apply_change(3, unreadable(), true, at(110));
-    assert_eq!(node.router.taking_work(at(110)), 0);
+    assert_eq!(node.router.engines_taking_work(at(110)), 0);
     assert_eq!(node.answer(1, 1, at(111)), Placement::Nowhere);
     let mut node = Node::new();
     node.apply_change(2, unreadable(), true, at(100));
-    assert_eq!(node.router.taking_work(at(100)), 0);
+    assert_eq!(node.router.engines_taking_work(at(100)), 0);
     node.apply_change(3, listed(1), false, at(200));
-    assert_eq!(node.router.taking_work(at(200)), 1);
+    assert_eq!(node.router.engines_taking_work(at(200)), 1);
 }
 
 #[test]
@@ -227,10 +227,10 @@
 #[test]
 fn delayed_updates_about_an_earlier_start_do_not_affect_the_later_one_at_66_nodes() {
     let mut nodes: Vec<Node> = (0..NODES).map(|_| Node::new()).collect();
-    let load = PeerWork {
+    let load = PeerLoad {
         prompt_tokens: [50_000; 4],
         requests: 8,
-        ..PeerWork::default()
+        ..PeerLoad::default()
     };
     let peer = NodeId::new("peer");
     for node in &mut nodes {
@@ -238,7 +238,7 @@
         assert_eq!(chosen(node.answer(1, 1, at(10))), Some(handle(1)));
         assert_eq!(chosen(node.answer(2, 1, at(11))), Some(handle(1)));
         node.router
-            .on_peer_load(&peer, WorkSlice::ALL, &[(handle(1), load)], at(12));
+            .on_peer_load(&peer, PeerLoadSlice::ALL, &[(handle(1), load)], at(12));
         assert_eq!(node.state(1).load(at(13)).requests, 10.0);
         node.apply_change(2, listed(2), false, at(100));
     }
@@ -259,7 +259,7 @@
         node.progress(1, DispatchProgress::ConnectionFailed, at(111));
         node.progress(2, DispatchProgress::Answered { pauses: vec![400] }, at(112));
         node.router
-            .on_peer_load(&peer, WorkSlice::ALL, &[(handle(1), load)], at(113));
+            .on_peer_load(&peer, PeerLoadSlice::ALL, &[(handle(1), load)], at(113));
         node.router.on_prefix_updates(&[prefix_update(1)], at(114));
         node.router
             .on_stage_orders(&[(handle(1), EngineStage::Prefill)], at(115));
@@ -276,7 +276,7 @@
         assert!(!state.answered_recently(now), "recent answers");
         assert_eq!(state.ordered_stage(now), None, "orders");
         assert_eq!(state.work_factor(now), 1.0);
-        assert_eq!(node.router.taking_work(now), 1, "health state");
+        assert_eq!(node.router.engines_taking_work(now), 1, "health state");
         assert_eq!(
             node.router.own_load(),
             [],
@@ -291,14 +291,14 @@
 fn updates_about_an_unknown_start_are_ignored() {
     let mut node = Node::new();
     node.router.on_prefix_updates(&[prefix_update(2)], at(10));
-    let load = PeerWork {
+    let load = PeerLoad {
         requests: 3,
-        ..PeerWork::default()
+        ..PeerLoad::default()
     };
     let peer = NodeId::new("peer");
     node.router
-        .on_peer_load(&peer, WorkSlice::ALL, &[(handle(2), load)], at(11));
-    assert_eq!(node.router.engine_named(handle(2)), None);
+        .on_peer_load(&peer, PeerLoadSlice::ALL, &[(handle(2), load)], at(11));
+    assert_eq!(node.router.engine_by_handle(handle(2)), None);
     assert!(node.state(1).prefixes.is_empty());
     assert_eq!(node.state(1).load(at(12)).requests, 0.0);
 }
--- a/crates/core/tests/pool_pauses.rs
+++ b/crates/core/tests/pool_pauses.rs
@@ -12,8 +12,8 @@
     EventInterval, PauseForecast, RecentPrefill, late_probability,
 };
 use shelfjunction_core::routing::pool::{
-    EngineLoad, EngineStage, KvCacheSource, PeerWork, PoolQuery, PoolRoute, PoolRouter, PoolWeights,
-    PrefillSpeed, PromptPart, PromptShape, RequestTerms, WorkSlice,
+    EngineLoad, EngineStage, KvCacheSource, PeerLoad, PeerLoadSlice, PoolQuery, PoolRoute, PoolRouter,
+    PoolWeights, PrefillSpeed, PromptPart, PromptShape, RequestConstraints,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -118,14 +118,14 @@
         ];
         let mut router = router_with(weights, 64, Some(1e-7), &engines);
         let handle = router.engine(&EngineId::new("d1")).unwrap().handle;
-        let load = PeerWork {
+        let load = PeerLoad {
             requests: 6,
             outputs: 6,
             streams: if bound_millis > 0 { 6 } else { 0 },
-            shortest_bound_millis: bound_millis,
-            ..PeerWork::default()
+            min_event_gap_limit_millis: bound_millis,
+            ..PeerLoad::default()
         };
-        router.on_peer_load(&NodeId::new("other"), WorkSlice::ALL, &[(handle, load)], NOW);
+        router.on_peer_load(&NodeId::new("other"), PeerLoadSlice::ALL, &[(handle, load)], NOW);
         router
     }
 
@@ -153,9 +153,9 @@
             zone: &ZoneId::new("zone-a"),
             excluded: &[],
             last_resort: false,
-            terms: RequestTerms {
+            constraints: RequestConstraints {
                 max_event_gap,
-                ..RequestTerms::default()
+                ..RequestConstraints::default()
             },
             draw: 0,
             rank: 1,
@@ -178,7 +178,7 @@
         };
         let (_, strict) = (send(300), send(200));
         let mut received = |sender: &PoolRouter| {
-            peer.on_peer_load(&NodeId::new("one"), WorkSlice::ALL, &sender.own_load(), NOW);
+            peer.on_peer_load(&NodeId::new("one"), PeerLoadSlice::ALL, &sender.own_load(), NOW);
             let load = peer.engine(&engine).unwrap().load(NOW);
             (load.streams, load.min_event_gap_limit)
         };
@@ -213,14 +213,14 @@
         let engines = [engine_with("d1", EngineStage::Decode, 64)];
         let mut router = router_with(weights_with_forecast(), 64, Some(1e-7), &engines);
         let handle = router.engine(&EngineId::new("d1")).unwrap().handle;
-        let load = PeerWork {
+        let load = PeerLoad {
             requests: 60,
             outputs: 60,
             streams: 60,
-            shortest_bound_millis: 1,
-            ..PeerWork::default()
+            min_event_gap_limit_millis: 1,
+            ..PeerLoad::default()
         };
-        router.on_peer_load(&NodeId::new("other"), WorkSlice::ALL, &[(handle, load)], NOW);
+        router.on_peer_load(&NodeId::new("other"), PeerLoadSlice::ALL, &[(handle, load)], NOW);
         let bound = Some(Duration::from_millis(1));
         assert!(matches!(route(&router, 4_000_000, bound), PoolRoute::Whole(_)));
     }
