--- a/crates/core/tests/engine_listing.rs
+++ b/crates/core/tests/engine_listing.rs
@@ -1,5 +1,5 @@
-//! The list of engines, where an engine may start again under its name: in whatever order words come, the latest start
-//! stays.
+//! The list of engines when engines restart under the same name: in whatever order updates arrive, an earlier start never
+//! replaces a later one.
 
 mod pool_support;
 
@@ -29,7 +29,7 @@
     ListChange::Gone(id(start))
 }
 
-/// As the store tells it: an entry that is removed names only the identifier.
+/// A removal as read from the store: it carries the name without the start.
 fn gone_by_name() -> ListChange {
     ListChange::Gone(EngineId::new(NAME))
 }
@@ -38,7 +38,7 @@
     ListChange::Unreadable(EngineId::new(NAME))
 }
 
-fn with(changes: &[ListChange]) -> (EngineListing, u64) {
+fn listing_after(changes: &[ListChange]) -> (EngineListing, u64) {
     let mut listing = EngineListing::default();
     let numbered = (1..).zip(changes.iter().cloned()).collect();
     listing.apply(numbered, changes.len() as u64);
@@ -46,17 +46,17 @@
 }
 
 #[test]
-fn a_later_start_takes_the_place_of_the_earlier_one() {
-    let (mut listing, next) = with(&[listed(1)]);
+fn a_later_start_replaces_the_earlier_one() {
+    let (mut listing, next) = listing_after(&[listed(1)]);
     assert_eq!(listing.apply(vec![(next, listed(2))], next), [gone(1), listed(2)]);
     assert!(listing.is_listed(&id(2)) && !listing.is_listed(&id(1)));
     assert_eq!(listing.snapshot().engines, [engine(2)]);
 }
 
 #[test]
-fn a_row_of_an_earlier_start_changes_nothing_whatever_its_version() {
+fn an_entry_of_an_earlier_start_is_ignored_whatever_its_version() {
     for before in [&[listed(2)][..], &[listed(2), gone_by_name()]] {
-        let (mut listing, next) = with(before);
+        let (mut listing, next) = listing_after(before);
         assert_eq!(listing.apply(vec![(next, listed(1))], next), []);
         assert!(!listing.is_listed(&id(1)));
         assert_eq!(listing.latest_start(NAME), EngineStart(2));
@@ -64,22 +64,22 @@
 }
 
 #[test]
-fn the_end_of_an_earlier_start_does_not_end_the_later_one() {
-    let (mut listing, next) = with(&[listed(1), listed(2)]);
+fn the_removal_of_an_earlier_start_keeps_the_later_one() {
+    let (mut listing, next) = listing_after(&[listed(1), listed(2)]);
     assert_eq!(listing.apply(vec![(next, gone(1))], next), []);
     assert!(listing.is_listed(&id(2)));
 }
 
 #[test]
-fn an_end_by_name_ends_whichever_start_is_listed_and_the_same_may_come_back() {
-    let (mut listing, next) = with(&[listed(1), listed(2)]);
+fn a_removal_by_name_removes_any_start_and_the_same_start_can_be_listed_again() {
+    let (mut listing, next) = listing_after(&[listed(1), listed(2)]);
     assert_eq!(listing.apply(vec![(next, gone_by_name())], next), [gone(2)]);
     assert_eq!(listing.apply(vec![(next + 1, listed(2))], next + 1), [listed(2)]);
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_takes_the_engine_off_until_it_can_be_again() {
-    let (mut listing, next) = with(&[listed(2)]);
+fn an_unreadable_entry_removes_the_engine_until_the_entry_is_valid_again() {
+    let (mut listing, next) = listing_after(&[listed(2)]);
     assert_eq!(
         listing.apply(vec![(next, unreadable())], next),
         [ListChange::Unreadable(id(2))]
@@ -87,7 +87,7 @@
     assert_eq!(
         listing.apply(vec![(next + 1, unreadable())], next + 1),
         [],
-        "once"
+        "a repeated change has no effect"
     );
     assert_eq!(listing.snapshot().engines, []);
     assert_eq!(listing.apply(vec![(next + 2, listed(2))], next + 2), [listed(2)]);
@@ -95,9 +95,9 @@
 }
 
 #[test]
-fn who_takes_the_whole_list_learns_of_starts_and_of_entries_that_cannot_be_read() {
-    let (source, version) = with(&[listed(1), listed(2)]);
-    let (mut other, _) = with(&[listed(1)]);
+fn a_complete_snapshot_carries_restarts_and_unreadable_entries() {
+    let (source, version) = listing_after(&[listed(1), listed(2)]);
+    let (mut other, _) = listing_after(&[listed(1)]);
     assert_eq!(other.replace(&source.snapshot()), [gone(1), listed(2)]);
     let mut source = source;
     source.apply(vec![(version, unreadable())], version);
@@ -105,27 +105,27 @@
 }
 
 #[test]
-fn the_starts_of_names_that_are_gone_are_kept_within_bounds() {
+fn the_number_of_remembered_ended_starts_is_bounded() {
     let mut listing = EngineListing::default();
-    for number in 0..3_000_u64 {
-        let mut one = engine(7);
-        one.id = EngineId::started(format!("engine-{number}"), EngineStart(7));
-        let name = EngineId::new(one.id.as_str());
-        let version = 2 * number + 1;
+    for index in 0..3_000_u64 {
+        let mut restarted = engine(7);
+        restarted.id = EngineId::started(format!("engine-{index}"), EngineStart(7));
+        let name = EngineId::new(restarted.id.as_str());
+        let version = 2 * index + 1;
         let changes = vec![
-            (version, ListChange::Listed(one)),
+            (version, ListChange::Listed(restarted)),
             (version + 1, ListChange::Gone(name)),
         ];
         listing.apply(changes, version + 1);
     }
     let known = (0..3_000)
-        .filter(|number| listing.latest_start(&format!("engine-{number}")) == EngineStart(7))
+        .filter(|index| listing.latest_start(&format!("engine-{index}")) == EngineStart(7))
         .count();
-    assert_eq!(known, 1_024, "the last ones");
+    assert_eq!(known, 1_024, "the latest starts are remembered");
     assert_eq!(listing.latest_start("engine-2999"), EngineStart(7));
 }
 
-/// A history of one name: what the store holds after each of its versions.
+/// The successive changes of one entry in the store.
 fn history() -> impl Strategy<Value = Vec<ListChange>> {
     let change = prop_oneof![
         4 => (1_u64..5).prop_map(listed),
@@ -135,12 +135,12 @@
     prop::collection::vec(change, 1..12)
 }
 
-/// Words that tell parts of the history: from which version on, and how many of its changes.
-fn words() -> impl Strategy<Value = Vec<(usize, usize)>> {
+/// Updates with parts of the history: the index of the first change and the number of changes.
+fn updates() -> impl Strategy<Value = Vec<(usize, usize)>> {
     prop::collection::vec((0_usize..12, 1_usize..6), 0..24)
 }
 
-fn word(history: &[ListChange], (from, count): (usize, usize)) -> ListUpdate {
+fn update(history: &[ListChange], (from, count): (usize, usize)) -> ListUpdate {
     let changes = (1..).zip(history.iter().cloned());
     ListUpdate {
         base: from as u64,
@@ -150,17 +150,17 @@
 
 proptest! {
     #[test]
-    fn words_in_any_order_lead_to_the_same_list_and_never_back_to_an_earlier_start(
+    fn updates_in_any_order_give_the_same_list_and_never_an_earlier_start(
         history in history(),
-        words in words(),
+        updates in updates(),
     ) {
-        let (expected, _) = with(&history);
-        let mut heard = EngineListing::default();
+        let (expected, _) = listing_after(&history);
+        let mut received = EngineListing::default();
         let mut latest = EngineStart::default();
         let mut in_use: Option<EngineId> = None;
         let rest = (0..history.len()).map(|from| (from, history.len()));
-        for told in words.into_iter().chain(rest) {
-            for change in word(&history, told).apply_to(&mut heard) {
+        for part in updates.into_iter().chain(rest) {
+            for change in update(&history, part).apply_to(&mut received) {
                 match change {
                     ListChange::Listed(engine) => {
                         prop_assert!(engine.id.start() >= latest, "{:?} after {latest:?}", engine.id);
@@ -174,20 +174,20 @@
             }
         }
         let listed = expected.snapshot();
-        prop_assert_eq!(heard.snapshot(), listed.clone());
+        prop_assert_eq!(received.snapshot(), listed.clone());
         prop_assert_eq!(in_use, listed.engines.first().map(|engine| engine.id.clone()));
     }
 
     #[test]
-    fn one_answer_of_the_store_may_hold_its_rows_in_any_order(
+    fn the_order_of_changes_within_one_response_of_the_store_does_not_matter(
         history in history(),
         shuffle in prop::collection::vec(any::<u64>(), 12),
     ) {
-        let (expected, _) = with(&history);
+        let (expected, _) = listing_after(&history);
         let mut changes: Vec<_> = (1..).zip(history.iter().cloned()).collect();
         changes.sort_by_key(|(version, _)| shuffle[*version as usize - 1]);
-        let mut heard = EngineListing::default();
-        heard.apply(changes, history.len() as u64);
-        prop_assert_eq!(heard.snapshot(), expected.snapshot());
+        let mut received = EngineListing::default();
+        received.apply(changes, history.len() as u64);
+        prop_assert_eq!(received.snapshot(), expected.snapshot());
     }
 }
--- a/crates/core/tests/engines_in_use.rs
+++ b/crates/core/tests/engines_in_use.rs
@@ -1,4 +1,4 @@
-//! The list of a node that takes the engines in use of others in place of the whole list.
+//! The partial list of a node that receives the engines in use of its peers instead of the complete list.
 
 #![allow(clippy::unwrap_used)]
 
@@ -30,8 +30,8 @@
     }
 }
 
-/// Of a node that knows every change that ever was.
-fn all_known() -> KnownChanges {
+/// The history of a node that knows every change.
+fn full_history() -> KnownChanges {
     KnownChanges::complete_since(0)
 }
 
@@ -48,72 +48,73 @@
 }
 
 #[test]
-fn a_node_that_began_with_the_whole_list_takes_newer_engines_in_use() {
+fn a_newer_snapshot_of_engines_in_use_replaces_the_complete_list() {
     let mut listing = EngineListing::default();
     listing.replace(&snapshot(10, vec![engine("a"), engine("b")]));
-    let taken = listing.apply_in_use_snapshot(&snapshot(20, vec![leaving("a")]), &all_known());
-    assert_eq!(taken, [gone("b"), ListChange::Listed(leaving("a"))]);
+    let applied = listing.apply_in_use_snapshot(&snapshot(20, vec![leaving("a")]), &full_history());
+    assert_eq!(applied, [gone("b"), ListChange::Listed(leaving("a"))]);
     assert!(listing.is_partial());
 }
 
 #[test]
-fn engines_in_use_that_are_older_say_nothing_to_a_node_that_knows_all() {
+fn a_snapshot_of_engines_in_use_that_is_not_newer_is_ignored_by_a_complete_list() {
     let mut listing = EngineListing::default();
     listing.replace(&snapshot(10, vec![engine("a")]));
     assert_eq!(
-        listing.apply_in_use_snapshot(&snapshot(10, vec![engine("b")]), &all_known()),
+        listing.apply_in_use_snapshot(&snapshot(10, vec![engine("b")]), &full_history()),
         []
     );
     assert!(!listing.is_partial());
 }
 
 #[test]
-fn an_older_word_of_another_placer_adds_what_was_never_named_and_changes_nothing_else() {
+fn an_older_snapshot_only_adds_unknown_engines() {
     let mut listing = EngineListing::default();
-    listing.apply_in_use_snapshot(&snapshot(20, vec![leaving("a")]), &all_known());
-    let taken = listing.apply_in_use_snapshot(&snapshot(15, vec![engine("a"), engine("b")]), &all_known());
-    assert_eq!(taken, [ListChange::Listed(engine("b"))]);
+    listing.apply_in_use_snapshot(&snapshot(20, vec![leaving("a")]), &full_history());
+    let applied =
+        listing.apply_in_use_snapshot(&snapshot(15, vec![engine("a"), engine("b")]), &full_history());
+    assert_eq!(applied, [ListChange::Listed(engine("b"))]);
     assert_eq!(names(&listing), ["a", "b"]);
 }
 
 #[test]
-fn an_engine_that_one_placer_has_no_longer_in_use_can_be_named_by_another() {
+fn an_engine_that_one_placer_no_longer_uses_can_be_added_by_another() {
     let mut listing = EngineListing::default();
-    listing.apply_in_use_snapshot(&snapshot(20, vec![engine("a"), engine("b")]), &all_known());
+    listing.apply_in_use_snapshot(&snapshot(20, vec![engine("a"), engine("b")]), &full_history());
     assert_eq!(
-        listing.apply_in_use_snapshot(&snapshot(30, vec![engine("a")]), &all_known()),
+        listing.apply_in_use_snapshot(&snapshot(30, vec![engine("a")]), &full_history()),
         [gone("b")]
     );
-    let taken = listing.apply_in_use_snapshot(&snapshot(25, vec![engine("b")]), &all_known());
-    assert_eq!(taken, [ListChange::Listed(engine("b"))]);
+    let applied = listing.apply_in_use_snapshot(&snapshot(25, vec![engine("b")]), &full_history());
+    assert_eq!(applied, [ListChange::Listed(engine("b"))]);
 }
 
 #[test]
-fn news_of_the_whole_list_add_no_engine_that_nobody_uses() {
+fn updates_of_the_complete_list_add_no_engine_to_a_partial_list() {
     let mut listing = EngineListing::default();
-    listing.apply_in_use_snapshot(&snapshot(20, vec![engine("a")]), &all_known());
-    let news = ListUpdate {
+    listing.apply_in_use_snapshot(&snapshot(20, vec![engine("a")]), &full_history());
+    let update = ListUpdate {
         base: 20,
         changes: vec![
             (21, ListChange::Listed(engine("new"))),
             (22, ListChange::Listed(leaving("a"))),
         ],
     };
-    assert_eq!(news.apply_to(&mut listing), [ListChange::Listed(leaving("a"))]);
+    assert_eq!(update.apply_to(&mut listing), [ListChange::Listed(leaving("a"))]);
     assert_eq!(listing.reflected_version(), 22);
 }
 
 #[test]
-fn the_whole_list_makes_a_node_know_all_again() {
+fn a_complete_snapshot_makes_a_partial_list_complete() {
     let mut listing = EngineListing::default();
-    listing.apply_in_use_snapshot(&snapshot(20, vec![engine("a")]), &all_known());
+    listing.apply_in_use_snapshot(&snapshot(20, vec![engine("a")]), &full_history());
     listing.replace(&snapshot(20, vec![engine("a"), engine("b")]));
     assert!(!listing.is_partial());
     assert_eq!(names(&listing), ["a", "b"]);
 }
 
 #[test]
-fn engines_in_use_are_told_as_the_list_has_them_now() {
+fn a_snapshot_of_engines_in_use_carries_their_current_entries() {
     let mut listing = EngineListing::default();
     listing.replace(&snapshot(10, vec![engine("a"), engine("b")]));
     let in_use = [engine("a"), engine("b")];
@@ -122,53 +123,53 @@
 }
 
 #[test]
-fn an_engine_that_left_is_not_revived_by_the_list_of_a_placer_that_was_cut_off() {
+fn an_outdated_snapshot_does_not_restore_a_removed_engine() {
     let mut listing = EngineListing::default();
-    listing.apply_in_use_snapshot(&snapshot(20, vec![engine("a"), engine("b")]), &all_known());
-    let news = ListUpdate {
+    listing.apply_in_use_snapshot(&snapshot(20, vec![engine("a"), engine("b")]), &full_history());
+    let update = ListUpdate {
         base: 20,
         changes: vec![(21, gone("b"))],
     };
-    news.apply_to(&mut listing);
+    update.apply_to(&mut listing);
     let older = snapshot(20, vec![engine("a"), engine("b")]);
-    assert_eq!(listing.apply_in_use_snapshot(&older, &all_known()), []);
+    assert_eq!(listing.apply_in_use_snapshot(&older, &full_history()), []);
 }
 
 #[test]
-fn an_engine_that_a_newer_list_no_longer_names_is_not_revived_where_it_has_changed_since() {
+fn an_outdated_snapshot_does_not_restore_an_engine_whose_entry_changed_since() {
     let mut listing = EngineListing::default();
-    listing.apply_in_use_snapshot(&snapshot(20, vec![engine("a"), engine("b")]), &all_known());
-    let mut changes = all_known();
+    listing.apply_in_use_snapshot(&snapshot(20, vec![engine("a"), engine("b")]), &full_history());
+    let mut changes = full_history();
     changes.note("b", 25);
     listing.apply_in_use_snapshot(&snapshot(30, vec![engine("a")]), &changes);
     let older = snapshot(20, vec![engine("a"), engine("b")]);
-    assert_eq!(listing.apply_in_use_snapshot(&older, &all_known()), []);
+    assert_eq!(listing.apply_in_use_snapshot(&older, &full_history()), []);
 }
 
 #[test]
-fn a_list_from_before_all_that_is_known_of_changes_revives_nothing() {
+fn a_snapshot_older_than_the_known_changes_restores_no_engine() {
     let mut listing = EngineListing::default();
-    let since_its_start = KnownChanges::complete_since(30);
-    listing.apply_in_use_snapshot(&snapshot(30, vec![engine("a")]), &since_its_start);
+    let since_start = KnownChanges::complete_since(30);
+    listing.apply_in_use_snapshot(&snapshot(30, vec![engine("a")]), &since_start);
     let older = snapshot(20, vec![engine("b")]);
-    assert_eq!(listing.apply_in_use_snapshot(&older, &all_known()), []);
-    let as_new = snapshot(30, vec![engine("b")]);
-    listing.apply_in_use_snapshot(&as_new, &since_its_start);
+    assert_eq!(listing.apply_in_use_snapshot(&older, &full_history()), []);
+    let same_version = snapshot(30, vec![engine("b")]);
+    listing.apply_in_use_snapshot(&same_version, &since_start);
     assert_eq!(names(&listing), ["b"]);
 }
 
 #[test]
-fn what_is_remembered_of_changes_is_bounded_and_says_since_when_it_is_complete() {
-    let mut known = all_known();
+fn the_known_changes_are_bounded_and_complete_after_a_version() {
+    let mut known = full_history();
     (1..=50_000).for_each(|version| known.note(&format!("engine-{version}"), version));
     assert!(
         known.is_unchanged_since("engine-1", 49_999),
-        "forgotten, but before"
+        "evicted, and unchanged after the oldest known change"
     );
     assert!(!known.is_unchanged_since("engine-50000", 49_999));
     assert!(
         !known.is_unchanged_since("engine-1", 40_000),
-        "not known any more"
+        "evicted, so changes before the oldest known one are unknown"
     );
     assert!(
         bincode::serde::encode_to_vec(known.latest(256), bincode::config::standard())
@@ -178,40 +179,40 @@
     );
 }
 
-/// What the store does next, and who hears of it how.
+/// One step of the store, of a placer or of the node under test.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     /// An engine is listed, listed as leaving, or removed.
     Write(usize, u8),
-    /// A placer takes the whole list, as it is now.
-    PlacerReads(usize),
-    /// A placer starts anew, and takes the whole list.
-    PlacerStarts(usize),
-    /// A placer takes what changed since it read, if it is not cut off.
-    PlacerFollows(usize),
-    /// The node takes the engines that a placer has in use, whatever its version.
-    TakeInUse(usize, u8),
-    /// The node hears of the changes that a placer was told last.
-    TakeNews(usize),
-    /// The node takes the whole list of a placer.
-    TakeWhole(usize),
+    /// A placer reads the complete list from the store.
+    PlacerReadsList(usize),
+    /// A placer restarts and reads the complete list.
+    PlacerRestarts(usize),
+    /// A placer reads the changes since its last read.
+    PlacerReadsChanges(usize),
+    /// The node applies the engines that a placer has in use, whatever their version.
+    ApplyInUse(usize, u8),
+    /// The node receives the changes that a placer read last.
+    ApplyUpdate(usize),
+    /// The node receives the complete list of a placer.
+    ApplyComplete(usize),
 }
 
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        (0..NAMES.len(), 0_u8..3).prop_map(|(name, kind)| Step::Write(name, kind)),
-        (0_usize..3).prop_map(Step::PlacerReads),
-        (0_usize..3).prop_map(Step::PlacerStarts),
-        (0_usize..3).prop_map(Step::PlacerFollows),
-        (0_usize..3, any::<u8>()).prop_map(|(placer, used)| Step::TakeInUse(placer, used)),
-        (0_usize..3).prop_map(Step::TakeNews),
-        (0_usize..3).prop_map(Step::TakeWhole),
+        (0..NAMES.len(), 0_u8..3).prop_map(|(name, write_kind)| Step::Write(name, write_kind)),
+        (0_usize..3).prop_map(Step::PlacerReadsList),
+        (0_usize..3).prop_map(Step::PlacerRestarts),
+        (0_usize..3).prop_map(Step::PlacerReadsChanges),
+        (0_usize..3, any::<u8>()).prop_map(|(placer, selected)| Step::ApplyInUse(placer, selected)),
+        (0_usize..3).prop_map(Step::ApplyUpdate),
+        (0_usize..3).prop_map(Step::ApplyComplete),
     ]
 }
 
-/// The store's history: each write with its version, which counts other writes too.
+/// The store: each write with its version. Versions also count writes of other keys.
 #[derive(Default)]
 struct Store {
     writes: Vec<(u64, ListChange)>,
@@ -219,9 +220,9 @@
 }
 
 impl Store {
-    fn write(&mut self, name: &str, kind: u8) {
+    fn write(&mut self, name: &str, write_kind: u8) {
         self.version += 2;
-        let change = match kind {
+        let change = match write_kind {
             0 => ListChange::Listed(engine(name)),
             1 => ListChange::Listed(leaving(name)),
             _ => gone(name),
@@ -237,20 +238,20 @@
     }
 }
 
-/// A placer: its list, and the last changes that it was told.
+/// A placer: its list and the changes that it read last.
 #[derive(Default)]
 struct Placer {
     listing: EngineListing,
-    news: Option<ListUpdate>,
+    update: Option<ListUpdate>,
 }
 
 impl Placer {
-    fn read(&mut self, store: &Store) {
+    fn read_list(&mut self, store: &Store) {
         self.listing.replace(&store.at(store.version));
-        self.news = None;
+        self.update = None;
     }
 
-    fn follow(&mut self, store: &Store) {
+    fn read_changes(&mut self, store: &Store) {
         let after = self.listing.reflected_version();
         let base = self.listing.last_change_version();
         let changes: Vec<_> = store
@@ -260,62 +261,64 @@
             .cloned()
             .collect();
         self.listing.apply(changes.clone(), store.version);
-        self.news = Some(ListUpdate { base, changes });
+        self.update = Some(ListUpdate { base, changes });
     }
 
-    fn in_use(&self, used: u8) -> ListSnapshot {
+    fn in_use(&self, selected: u8) -> ListSnapshot {
         let listed = self.listing.snapshot().engines;
-        let used = (0..).zip(listed).filter(|(place, _)| used & (1 << place) != 0);
-        let used: Vec<_> = used.map(|(_, engine)| engine).collect();
-        self.listing.snapshot_of(&used)
+        let selected = (0..)
+            .zip(listed)
+            .filter(|(index, _)| selected & (1 << index) != 0);
+        let selected: Vec<_> = selected.map(|(_, engine)| engine).collect();
+        self.listing.snapshot_of(&selected)
     }
 }
 
 proptest! {
     #[test]
-    fn no_order_of_lists_and_changes_makes_a_node_list_what_a_version_that_it_reflects_no_longer_holds(
+    fn the_list_never_contains_an_entry_that_the_store_did_not_hold_at_the_reflected_version(
         steps in prop::collection::vec(step(), 1..60),
-        remembered in prop_oneof![Just(1_usize), Just(3), Just(256)],
+        max_entries in prop_oneof![Just(1_usize), Just(3), Just(256)],
     ) {
         let mut store = Store::default();
         NAMES.iter().for_each(|name| store.write(name, 0));
         let mut placers: [Placer; 3] = Default::default();
-        placers.iter_mut().for_each(|placer| placer.read(&store));
+        placers.iter_mut().for_each(|placer| placer.read_list(&store));
         let mut node = EngineListing::default();
         for step in steps {
             match step {
-                Step::Write(name, kind) => store.write(NAMES[name], kind),
-                Step::PlacerReads(placer) => placers[placer].read(&store),
-                Step::PlacerStarts(placer) => {
+                Step::Write(name, write_kind) => store.write(NAMES[name], write_kind),
+                Step::PlacerReadsList(placer) => placers[placer].read_list(&store),
+                Step::PlacerRestarts(placer) => {
                     placers[placer] = Placer::default();
-                    placers[placer].read(&store);
+                    placers[placer].read_list(&store);
                 }
-                Step::PlacerFollows(placer) => placers[placer].follow(&store),
-                Step::TakeInUse(placer, used) => {
+                Step::PlacerReadsChanges(placer) => placers[placer].read_changes(&store),
+                Step::ApplyInUse(placer, selected) => {
                     let placer = &placers[placer];
-                    let changes = placer.listing.known_changes(remembered);
-                    node.apply_in_use_snapshot(&placer.in_use(used), &changes);
+                    let changes = placer.listing.known_changes(max_entries);
+                    node.apply_in_use_snapshot(&placer.in_use(selected), &changes);
                 }
-                Step::TakeNews(placer) => {
-                    if let Some(news) = placers[placer].news.clone() {
-                        news.apply_to(&mut node);
+                Step::ApplyUpdate(placer) => {
+                    if let Some(update) = placers[placer].update.clone() {
+                        update.apply_to(&mut node);
                     }
                 }
-                Step::TakeWhole(placer) => {
+                Step::ApplyComplete(placer) => {
                     node.replace(&placers[placer].listing.snapshot());
                 }
             }
-            let truth = store.at(node.reflected_version());
+            let expected = store.at(node.reflected_version());
             for listed in node.snapshot().engines {
                 prop_assert!(
-                    truth.engines.contains(&listed),
+                    expected.engines.contains(&listed),
                     "{:?} at version {}",
                     listed,
                     node.reflected_version()
                 );
             }
             if !node.is_partial() && node.reflected_version() > 0 {
-                prop_assert_eq!(node.snapshot().engines, truth.engines);
+                prop_assert_eq!(node.snapshot().engines, expected.engines);
             }
         }
     }
