--- a/crates/core/tests/engine_pace.rs
+++ b/crates/core/tests/engine_pace.rs
@@ -1,4 +1,4 @@
-//! What is believed of one engine's pace: its lasting speed, and how its machine stands.
+//! Estimates of the lasting and momentary pace of an engine.
 
 #![allow(clippy::unwrap_used)]
 
@@ -35,7 +35,7 @@
     router_with(weights, 64, None, &engines)
 }
 
-fn told(percent: Option<u32>) -> ReportedLoad {
+fn load_report(percent: Option<u32>) -> ReportedLoad {
     ReportedLoad {
         running: 1,
         waiting: 0,
@@ -61,16 +61,16 @@
     }
 }
 
-/// Reads a prompt at an engine, which takes so long.
-fn read(router: &mut PoolRouter, engine: &str, took: Duration, at: MonotonicTime) {
+/// Runs a prefill that takes the given time.
+fn run_prefill(router: &mut PoolRouter, engine: &str, took: Duration, at: MonotonicTime) {
     let (pool, zone, prompt) = (pool(), ZoneId::new("zone-a"), prompt());
     let query = query(&pool, &zone, &prompt, &[]);
     let ticket = router.on_prompt_sent(&EngineId::new(engine), &query, at);
     router.on_prompt_prefilled(&ticket, &[], at + took);
 }
 
-/// Runs an output at an engine, which takes so long.
-fn run(router: &mut PoolRouter, engine: &str, took: Duration, at: MonotonicTime) {
+/// Decodes an output that takes the given time.
+fn run_decode(router: &mut PoolRouter, engine: &str, took: Duration, at: MonotonicTime) {
     let (pool, zone, prompt) = (pool(), ZoneId::new("zone-a"), prompt());
     let query = query(&pool, &zone, &prompt, &[]);
     let ticket = router.on_output_sent(&EngineId::new(engine), &query, KvCacheSource::Transfer, at);
@@ -103,29 +103,29 @@
 }
 
 #[test]
-fn a_told_figure_counts_at_once_and_fades_to_the_usual_one() {
+fn a_reported_pace_applies_immediately_and_decays_to_the_mean() {
     let mut router = router(EnginePaceUse::WhereReported);
     let engine = EngineId::new("d1");
-    router.on_told(&engine, told(Some(250)), NOW);
-    let at_once = factor(&router, "d1", NOW);
+    router.on_told(&engine, load_report(Some(250)), NOW);
+    let immediately = factor(&router, "d1", NOW);
     let later = factor(&router, "d1", NOW + millis(300));
     let too_old = factor(&router, "d1", NOW + millis(5_000));
-    assert!((at_once - 2.5).abs() < 1e-9, "{at_once}");
-    assert!(later < at_once && later > too_old, "{later}");
+    assert!((immediately - 2.5).abs() < 1e-9, "{immediately}");
+    assert!(later < immediately && later > too_old, "{later}");
     let state = router.engine(&engine).unwrap();
-    let usual = state.pace().momentary_factor(NOW + Duration::from_secs(60));
-    assert_eq!(too_old, usual);
+    let mean = state.pace().momentary_factor(NOW + Duration::from_secs(60));
+    assert_eq!(too_old, mean);
     assert_eq!(state.pace().momentary_age(NOW + millis(300)), Some(millis(300)));
     assert_eq!(state.pace().momentary_age(NOW + millis(5_000)), None);
 }
 
 #[test]
-fn an_engine_that_always_tells_a_high_figure_is_usually_so() {
+fn the_mean_follows_an_engine_that_always_reports_a_high_pace() {
     let mut router = router(EnginePaceUse::WhereReported);
     for second in 0..100 {
         let now = NOW + Duration::from_secs(second);
-        router.on_told(&EngineId::new("d1"), told(Some(200)), now);
-        router.on_told(&EngineId::new("d2"), told(Some(100)), now);
+        router.on_told(&EngineId::new("d1"), load_report(Some(200)), now);
+        router.on_told(&EngineId::new("d2"), load_report(Some(100)), now);
     }
     let late = NOW + Duration::from_secs(200);
     assert!(factor(&router, "d1", late) > 1.7);
@@ -133,13 +133,13 @@
 }
 
 #[test]
-fn nonsense_is_no_figure() {
+fn implausible_reports_are_ignored() {
     for percent in [0, 9, 5_001, u32::MAX] {
         let mut router = router(EnginePaceUse::WhereReported);
-        router.on_told(&EngineId::new("d1"), told(Some(percent)), NOW);
+        router.on_told(&EngineId::new("d1"), load_report(Some(percent)), NOW);
         assert!(!router.engine(&EngineId::new("d1")).unwrap().pace().in_use());
         assert_eq!(factor(&router, "d1", NOW), 1.0);
-        let words = PaceReports {
+        let reports = PaceReports {
             figures: vec![ReportedPace {
                 engine: router.handle_of(&EngineId::new("d1")),
                 percent: u16::try_from(percent).unwrap_or(u16::MAX),
@@ -147,66 +147,73 @@
             }],
             lasting: Vec::new(),
         };
-        router.on_pace_reports(&words, NOW);
-        router.on_told(&EngineId::new("d2"), told(Some(100)), NOW);
+        router.on_pace_reports(&reports, NOW);
+        router.on_told(&EngineId::new("d2"), load_report(Some(100)), NOW);
         assert_eq!(factor(&router, "d1", NOW), 1.0);
     }
 }
 
 #[test]
-fn engines_that_tell_three_figures_are_judged_as_before() {
-    let mut untold = router(EnginePaceUse::WhereReported);
+fn without_reported_paces_estimates_are_the_same_as_with_paces_off() {
+    let mut without_reports = router(EnginePaceUse::WhereReported);
     let mut off = router(EnginePaceUse::Off);
-    for router in [&mut untold, &mut off] {
+    for router in [&mut without_reports, &mut off] {
         for second in 0..30 {
             let now = NOW + Duration::from_secs(second);
-            router.on_told(&EngineId::new("d1"), told(None), now);
-            read(router, "p1", millis(90 + 13 * (second % 5)), now);
-            run(router, "d1", millis(400), now);
+            router.on_told(&EngineId::new("d1"), load_report(None), now);
+            run_prefill(router, "p1", millis(90 + 13 * (second % 5)), now);
+            run_decode(router, "d1", millis(400), now);
         }
     }
     let now = NOW + Duration::from_secs(40);
     for engine in ["d1", "d2", "p1"] {
-        assert_eq!(factor(&untold, engine, now), factor(&off, engine, now));
+        assert_eq!(factor(&without_reports, engine, now), factor(&off, engine, now));
     }
-    assert_eq!(untold.speeds(&pool()), off.speeds(&pool()));
-    assert_eq!(untold.take_pace_reports(8, 8, now), PaceReports::default());
-    assert_eq!(untold.pace_spread(now), None);
+    assert_eq!(without_reports.speeds(&pool()), off.speeds(&pool()));
+    assert_eq!(
+        without_reports.take_pace_reports(8, 8, now),
+        PaceReports::default()
+    );
+    assert_eq!(without_reports.pace_spread(now), None);
 }
 
 #[test]
-fn a_quicker_engine_is_known_as_such_and_does_not_speed_up_its_pool() {
+fn a_faster_engine_is_detected_relative_to_its_pool() {
     let mut router = router(EnginePaceUse::WhereReported);
     for round in 0..200 {
         let now = NOW + millis(1_000 * round);
-        router.on_told(&EngineId::new("d1"), told(Some(100)), now);
-        run(&mut router, "d1", millis(300), now);
-        run(&mut router, "d2", millis(600), now);
+        router.on_told(&EngineId::new("d1"), load_report(Some(100)), now);
+        run_decode(&mut router, "d1", millis(300), now);
+        run_decode(&mut router, "d2", millis(600), now);
     }
     let now = NOW + Duration::from_secs(300);
-    let (quick, slow) = (factor(&router, "d1", now), factor(&router, "d2", now));
-    assert!(quick < 0.85 && slow > 1.15, "{quick} {slow}");
-    assert!((slow / quick - 2.0).abs() < 0.25, "{quick} {slow}");
+    let (fast, slow) = (factor(&router, "d1", now), factor(&router, "d2", now));
+    assert!(fast < 0.85 && slow > 1.15, "{fast} {slow}");
+    assert!((slow / fast - 2.0).abs() < 0.25, "{fast} {slow}");
     let changes = router.take_pace_changes();
     assert!(!changes.is_empty() && changes.len() < 6, "{changes:?}");
     assert!(router.take_pace_changes().is_empty());
 }
 
 #[test]
-fn what_a_machine_takes_for_a_moment_does_not_count_as_lasting() {
+fn a_momentary_slowdown_does_not_affect_the_lasting_pace() {
     let mut router = router(EnginePaceUse::WhereReported);
     for round in 0..200 {
         let now = NOW + millis(2_000 * round);
-        // Machines are slow by turns, and tell so; both engines are alike.
+        // The machines are slow in turn and report it; the engines have the same lasting pace.
         for (engine, slow) in [("d1", round % 3 == 0), ("d2", round % 3 == 1)] {
             let percent = if slow { 300 } else { 100 };
             let took = if slow { 1_200 } else { 400 };
-            router.on_told(&EngineId::new(engine), told(Some(percent)), now);
+            router.on_told(&EngineId::new(engine), load_report(Some(percent)), now);
             let (pool, zone, prompt) = (pool(), ZoneId::new("zone-a"), prompt());
             let query = query(&pool, &zone, &prompt, &[]);
             let ticket = router.on_output_sent(&EngineId::new(engine), &query, KvCacheSource::Transfer, now);
             router.on_output_started(&ticket, &[], now);
-            router.on_told(&EngineId::new(engine), told(Some(percent)), now + millis(took));
+            router.on_told(
+                &EngineId::new(engine),
+                load_report(Some(percent)),
+                now + millis(took),
+            );
             router.on_output_ended(&ticket, now + millis(took));
             router.on_answered(&ticket);
         }
@@ -223,7 +230,7 @@
 }
 
 #[test]
-fn an_engine_that_changes_for_good_is_learned_anew() {
+fn the_lasting_pace_adapts_quickly_to_a_permanent_change() {
     let mut lasting = LastingPace::default();
     for _ in 0..100 {
         lasting.observe(1.0, 1.0);
@@ -232,15 +239,15 @@
         lasting.observe(3.0, 1.0);
     }
     assert!(lasting.factor() > 2.0, "{}", lasting.factor());
-    for nonsense in [0.0, -1.0, f64::NAN, f64::INFINITY] {
+    for invalid in [0.0, -1.0, f64::NAN, f64::INFINITY] {
         let before = lasting;
-        lasting.observe(nonsense, 1.0);
+        lasting.observe(invalid, 1.0);
         assert_eq!(lasting, before);
     }
 }
 
 #[test]
-fn one_outlier_moves_the_lasting_speed_little() {
+fn an_outlier_has_little_effect_on_the_lasting_pace() {
     let mut lasting = LastingPace::default();
     for _ in 0..50 {
         lasting.observe(1.0, 1.0);
@@ -250,35 +257,35 @@
 }
 
 #[test]
-fn a_new_placer_takes_over_lasting_speeds_and_momentary_figures() {
+fn a_new_placer_learns_paces_from_reports_of_a_peer() {
     let mut old = router(EnginePaceUse::WhereReported);
     for round in 0..60 {
         let now = NOW + millis(1_000 * round);
-        old.on_told(&EngineId::new("d1"), told(Some(100)), now);
-        run(&mut old, "d1", millis(300), now);
-        run(&mut old, "d2", millis(900), now);
+        old.on_told(&EngineId::new("d1"), load_report(Some(100)), now);
+        run_decode(&mut old, "d1", millis(300), now);
+        run_decode(&mut old, "d2", millis(900), now);
     }
     let now = NOW + Duration::from_secs(70);
     let mut new = router(EnginePaceUse::WhereReported);
-    new.on_told(&EngineId::new("p1"), told(Some(100)), now);
-    // One engine at a time; the first word is lost.
-    let told_engines: Vec<_> = (0..4)
+    new.on_told(&EngineId::new("p1"), load_report(Some(100)), now);
+    // Each batch reports one engine; the first batch is lost.
+    let batches: Vec<_> = (0..4)
         .map(|_| old.take_pace_reports(8, 1, now))
-        .inspect(|words| assert!(words.lasting.len() <= 1))
+        .inspect(|reports| assert!(reports.lasting.len() <= 1))
         .collect();
-    for words in &told_engines[1..] {
-        new.on_pace_reports(words, now);
+    for reports in &batches[1..] {
+        new.on_pace_reports(reports, now);
     }
     let ratio = factor(&new, "d2", now) / factor(&new, "d1", now);
     let known = factor(&old, "d2", now) / factor(&old, "d1", now);
     assert!(ratio > 2.0 && ratio < known * 1.2, "{ratio} {known}");
-    // A figure that surprises is told once, with its age, and one that doesn't is not.
-    old.on_told(&EngineId::new("d1"), told(Some(250)), now);
-    old.on_told(&EngineId::new("d2"), told(Some(100)), now);
-    let words = old.take_pace_reports(8, 0, now + millis(50));
+    // A pace that differs from the estimate is sent once, with its age; others are not sent.
+    old.on_told(&EngineId::new("d1"), load_report(Some(250)), now);
+    old.on_told(&EngineId::new("d2"), load_report(Some(100)), now);
+    let reports = old.take_pace_reports(8, 0, now + millis(50));
     let handle = old.handle_of(&EngineId::new("d1"));
     assert_eq!(
-        words.figures,
+        reports.figures,
         vec![ReportedPace {
             engine: handle,
             percent: 250,
@@ -287,9 +294,9 @@
     );
     assert!(old.take_pace_reports(8, 0, now).figures.is_empty());
     let before = factor(&new, "d1", now + millis(60));
-    new.on_pace_reports(&words, now + millis(60));
+    new.on_pace_reports(&reports, now + millis(60));
     assert!(factor(&new, "d1", now + millis(60)) > 1.8 * before);
-    // An older word does not undo a newer one.
+    // An older report does not override a newer one.
     let older = PaceReports {
         figures: vec![ReportedPace {
             engine: handle,
@@ -308,18 +315,18 @@
 }
 
 #[test]
-fn of_two_idle_engines_the_quicker_one_runs_the_output() {
+fn the_faster_of_two_idle_engines_is_chosen_for_decode() {
     let choice = |percents: [u32; 2]| {
         let mut router = router(EnginePaceUse::WhereReported);
         for round in 0..40 {
             let now = NOW + millis(1_000 * round);
-            router.on_told(&EngineId::new("d1"), told(Some(100)), now);
-            run(&mut router, "d1", millis(400), now);
-            run(&mut router, "d2", millis(400), now);
+            router.on_told(&EngineId::new("d1"), load_report(Some(100)), now);
+            run_decode(&mut router, "d1", millis(400), now);
+            run_decode(&mut router, "d2", millis(400), now);
         }
         let now = NOW + Duration::from_secs(60);
-        router.on_told(&EngineId::new("d1"), told(Some(percents[0])), now);
-        router.on_told(&EngineId::new("d2"), told(Some(percents[1])), now);
+        router.on_told(&EngineId::new("d1"), load_report(Some(percents[0])), now);
+        router.on_told(&EngineId::new("d2"), load_report(Some(percents[1])), now);
         let (pool, zone, prompt) = (pool(), ZoneId::new("zone-a"), prompt());
         let query = query(&pool, &zone, &prompt, &[]);
         match router.choose(&query, now) {
@@ -332,31 +339,34 @@
 }
 
 #[test]
-fn the_persistence_is_learned_from_how_soon_figures_change() {
-    for (millis_between, holds) in [(100, 0.1), (600, 0.6), (3_000, 3.0)] {
+fn the_persistence_is_estimated_from_how_fast_reports_change() {
+    for (millis_between, expected_seconds) in [(100, 0.1), (600, 0.6), (3_000, 3.0)] {
         let mut persistence = PacePersistence::default();
         for round in 0..400_u64 {
-            // The second figure still holds with the probability that the persistence gives.
+            // The pace is unchanged after the gap with the probability that the persistence implies.
             let gap = Duration::from_millis(millis_between * (1 + round % 3) / 2);
-            let kept = (-gap.as_secs_f64() / holds).exp();
-            let still = (round * 37 % 100) as f64 / 100.0 < kept;
-            persistence.observe(1.5, if still { 1.5 } else { 0.0 }, gap);
+            let remaining = (-gap.as_secs_f64() / expected_seconds).exp();
+            let unchanged = (round * 37 % 100) as f64 / 100.0 < remaining;
+            persistence.observe(1.5, if unchanged { 1.5 } else { 0.0 }, gap);
         }
-        let learned = persistence.seconds();
-        assert!((holds / 1.5..holds * 1.5).contains(&learned), "{learned} {holds}");
+        let estimated_seconds = persistence.seconds();
+        assert!(
+            (expected_seconds / 1.5..expected_seconds * 1.5).contains(&estimated_seconds),
+            "{estimated_seconds} {expected_seconds}"
+        );
     }
 }
 
 #[test]
-fn engines_that_tell_none_are_judged_by_what_is_seen_where_the_settings_ask() {
+fn paces_are_estimated_from_observed_times_if_always_used() {
     let mut router = router(EnginePaceUse::Always);
     for round in 0..60 {
         let now = NOW + millis(1_000 * round);
-        run(&mut router, "d1", millis(400), now);
-        run(&mut router, "d2", millis(400), now);
+        run_decode(&mut router, "d1", millis(400), now);
+        run_decode(&mut router, "d2", millis(400), now);
     }
     let now = NOW + Duration::from_secs(60);
-    run(&mut router, "d1", millis(1_600), now);
+    run_decode(&mut router, "d1", millis(1_600), now);
     let ended = now + millis(1_610);
     assert!(factor(&router, "d1", ended) > 1.6);
     assert!(factor(&router, "d2", ended) < 1.3);
--- a/crates/core/tests/engine_pace_fleet.rs
+++ b/crates/core/tests/engine_pace_fleet.rs
@@ -1,19 +1,19 @@
-//! A fleet whose engines differ for good and whose machines turn slow for moments, served with and without telling the
-//! two apart.
+//! A simulated fleet of engines with different lasting paces and momentary slowdowns: more requests are in time if routing
+//! takes the paces into account.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
 mod pace_world;
 mod pool_support;
 
-use pace_world::{Result, World, play};
+use pace_world::{Outcome, Scenario, simulate};
 use shelfjunction_core::routing::pool::{EnginePaceUse, PoolWeights};
 
-/// Most requests at one engine, over the mean: a quick engine among slow ones takes several times as many.
-const MOST_AT_ONE: f64 = 8.0;
+/// Maximum number of requests at one engine, over the mean; a fast engine among slow ones serves several times the mean.
+const MAX_BUSIEST_OVER_MEAN: f64 = 8.0;
 
-fn world(placers: usize) -> World {
-    World {
+fn scenario(placers: usize) -> Scenario {
+    Scenario {
         placers,
         engines: (20, 40),
         lasting: vec![0.5, 1.0, 1.6, 0.7, 2.5, 1.2, 0.9],
@@ -22,111 +22,114 @@
         slow_millis: 600,
         rate: 120.0,
         seconds: 30,
-        lost: 0.0,
-        nonsense: None,
+        message_loss: 0.0,
+        invalid_report: None,
         pace_use: EnginePaceUse::WhereReported,
         output_time: PoolWeights::default().output_time,
         seed: 27,
     }
 }
 
-fn with(pace_use: EnginePaceUse, world: &World) -> Result {
-    let world = World {
+fn simulate_with(pace_use: EnginePaceUse, scenario: &Scenario) -> Outcome {
+    let scenario = Scenario {
         pace_use,
-        ..world.clone()
+        ..scenario.clone()
     };
-    let result = play(&world);
-    println!("{pace_use:?}: share in time {:.3}, {result:?}", result.share());
-    result
+    let outcome = simulate(&scenario);
+    println!(
+        "{pace_use:?}: share in time {:.3}, {outcome:?}",
+        outcome.share_in_time()
+    );
+    outcome
 }
 
-fn compare(world: &World) -> (Result, Result) {
-    println!("{world:?}");
+fn compare(scenario: &Scenario) -> (Outcome, Outcome) {
+    println!("{scenario:?}");
     (
-        with(EnginePaceUse::Off, world),
-        with(EnginePaceUse::WhereReported, world),
+        simulate_with(EnginePaceUse::Off, scenario),
+        simulate_with(EnginePaceUse::WhereReported, scenario),
     )
 }
 
 #[test]
-fn more_requests_are_in_time_where_the_two_are_told_apart() {
+fn paces_increase_the_share_in_time() {
     for (slow_share, slow_factor, slow_millis) in [(0.15, 2.5, 600), (0.1, 4.0, 300), (0.25, 2.0, 1_000)] {
-        let world = World {
+        let scenario = Scenario {
             slow_share,
             slow_factor,
             slow_millis,
-            ..world(8)
+            ..scenario(8)
         };
-        let (before, after) = compare(&world);
-        assert!(after.share() > before.share() + 0.01);
-        assert!(after.busiest < MOST_AT_ONE);
+        let (without_paces, with_paces) = compare(&scenario);
+        assert!(with_paces.share_in_time() > without_paces.share_in_time() + 0.01);
+        assert!(with_paces.busiest_over_mean < MAX_BUSIEST_OVER_MEAN);
     }
 }
 
 #[test]
-fn fleets_in_which_each_node_chooses_gain_too() {
+fn paces_increase_the_share_in_time_with_more_or_fewer_placers() {
     for nodes in [6, 16] {
-        let (before, after) = compare(&world(nodes));
-        assert!(after.share() > before.share() + 0.01);
-        assert!(after.busiest < MOST_AT_ONE);
+        let (without_paces, with_paces) = compare(&scenario(nodes));
+        assert!(with_paces.share_in_time() > without_paces.share_in_time() + 0.01);
+        assert!(with_paces.busiest_over_mean < MAX_BUSIEST_OVER_MEAN);
     }
 }
 
 #[test]
-fn words_about_paces_stay_small() {
-    // In fleets of 66 and of 300 nodes the same eight choose; what each tells grows with engines and requests.
+fn pace_reports_stay_small() {
+    // The number of placers is the same in both fleets; reports grow with the engines and requests.
     for (engines, rate) in [((20, 40), 120.0), ((50, 100), 400.0)] {
-        let world = World {
+        let scenario = Scenario {
             engines,
             rate,
             seconds: 10,
-            ..world(8)
+            ..scenario(8)
         };
-        let result = with(EnginePaceUse::WhereReported, &world);
-        assert!(result.pace_bytes < 1_500.0);
+        let outcome = simulate_with(EnginePaceUse::WhereReported, &scenario);
+        assert!(outcome.pace_bytes < 1_500.0);
     }
 }
 
 #[test]
-fn lost_words_cost_little() {
-    let whole = with(EnginePaceUse::WhereReported, &world(8));
-    let lossy = World {
-        lost: 0.3,
-        ..world(8)
+fn lost_reports_have_little_effect() {
+    let lossless = simulate_with(EnginePaceUse::WhereReported, &scenario(8));
+    let lossy = Scenario {
+        message_loss: 0.3,
+        ..scenario(8)
     };
-    let lost = with(EnginePaceUse::WhereReported, &lossy);
-    assert!(lost.share() > whole.share() - 0.02);
+    let with_loss = simulate_with(EnginePaceUse::WhereReported, &lossy);
+    assert!(with_loss.share_in_time() > lossless.share_in_time() - 0.02);
 }
 
 #[test]
-fn engines_that_tell_nonsense_are_served_as_before() {
-    for nonsense in [0, 1_000_000] {
-        let world = World {
-            nonsense: Some(nonsense),
-            ..world(8)
+fn implausible_reports_leave_routing_unchanged() {
+    for invalid_report in [0, 1_000_000] {
+        let scenario = Scenario {
+            invalid_report: Some(invalid_report),
+            ..scenario(8)
         };
-        let (before, after) = compare(&world);
-        assert_eq!(after.in_time, before.in_time);
-        assert_eq!(after.requests, before.requests);
+        let (without_paces, with_paces) = compare(&scenario);
+        assert_eq!(with_paces.in_time, without_paces.in_time);
+        assert_eq!(with_paces.requests, without_paces.requests);
     }
 }
 
 #[test]
-fn engines_that_are_alike_and_never_slow_lose_nothing() {
-    let world = World {
+fn paces_do_no_harm_if_all_engines_are_equally_fast() {
+    let scenario = Scenario {
         lasting: vec![1.0],
         slow_share: 0.0,
-        ..world(8)
+        ..scenario(8)
     };
-    let (before, after) = compare(&world);
-    assert!(after.share() > before.share() - 0.005);
-    assert!(after.busiest < 1.2 * before.busiest);
+    let (without_paces, with_paces) = compare(&scenario);
+    assert!(with_paces.share_in_time() > without_paces.share_in_time() - 0.005);
+    assert!(with_paces.busiest_over_mean < 1.2 * without_paces.busiest_over_mean);
 }
 
 #[test]
-fn where_load_is_near_what_the_fleet_can_do_more_are_in_time_too() {
+fn paces_increase_the_share_in_time_near_the_capacity_of_the_fleet() {
     for rate in [300.0, 350.0] {
-        let (before, after) = compare(&World { rate, ..world(8) });
-        assert!(after.share() > before.share());
+        let (without_paces, with_paces) = compare(&Scenario { rate, ..scenario(8) });
+        assert!(with_paces.share_in_time() > without_paces.share_in_time());
     }
 }
--- a/crates/core/tests/pace_world/engines.rs
+++ b/crates/core/tests/pace_world/engines.rs
@@ -1,15 +1,14 @@
-//! Engines that take as long as their own speed and the state of their machine make it.
+//! Simulated engines whose speed depends on their lasting pace and the momentary state of their machine.
 
-use super::World;
+use super::Scenario;
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
 
-/// Numbers from a seed (splitmix64).
+/// Pseudo-random numbers (splitmix64).
 #[derive(Clone, Debug)]
 pub struct Rng(pub u64);
 
 impl Rng {
-    /// The next number.
     pub fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
@@ -18,79 +17,79 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// From zero to below one.
-    pub fn part(&mut self) -> f64 {
+    /// A number from 0 (inclusive) to 1 (exclusive).
+    pub fn unit_interval(&mut self) -> f64 {
         (self.next() >> 11) as f64 / (1u64 << 53) as f64
     }
 }
 
-const READ_SECONDS_PER_TOKEN: f64 = 1.0 / 60_000.0;
-const READ_FIXED_SECONDS: f64 = 0.008;
-const TOKEN_SECONDS: f64 = 0.0040;
-const TOKENS_IN_PIECE: u32 = 14;
-/// Part by which each further output makes all of them slower.
-const EACH_OUTPUT: f64 = 0.01;
-const HAND_OVER: Duration = Duration::from_millis(6);
+const PREFILL_SECONDS_PER_TOKEN: f64 = 1.0 / 60_000.0;
+const PREFILL_FIXED_SECONDS: f64 = 0.008;
+const DECODE_SECONDS_PER_TOKEN: f64 = 0.0040;
+const TOKENS_PER_EVENT: u32 = 14;
+/// Fraction by which each concurrent output slows down the others.
+const SLOWDOWN_PER_OUTPUT: f64 = 0.01;
+const KV_TRANSFER_DURATION: Duration = Duration::from_millis(6);
 
-/// One engine.
 #[derive(Clone, Debug)]
 pub struct SimulatedEngine {
-    /// Factor of its own speed.
+    /// Factor by which all work lasts longer.
     pub lasting: f64,
-    number: u64,
-    slow: (f64, f64, u64),
+    engine_index: u64,
+    slowdown: (f64, f64, u64),
     seed: u64,
     free_at: MonotonicTime,
     outputs: Vec<MonotonicTime>,
 }
 
 impl SimulatedEngine {
-    pub fn new(lasting: f64, number: u64, world: &World) -> Self {
+    pub fn new(lasting: f64, engine_index: u64, scenario: &Scenario) -> Self {
         Self {
             lasting,
-            number,
-            slow: (world.slow_share, world.slow_factor, world.slow_millis),
-            seed: world.seed,
+            engine_index,
+            slowdown: (scenario.slow_share, scenario.slow_factor, scenario.slow_millis),
+            seed: scenario.seed,
             free_at: MonotonicTime::default(),
             outputs: Vec::new(),
         }
     }
 
-    /// How its machine stands; drawn anew each time after `slow_millis`, at its own phase.
+    /// Momentary factor of the machine. Redrawn every `slow_millis`, with a different phase for each engine.
     pub fn momentary(&self, now: MonotonicTime) -> f64 {
-        let (share, factor, millis) = self.slow;
-        let phase = Rng(self.seed ^ self.number).next() % (millis * 1_000);
+        let (share, factor, millis) = self.slowdown;
+        let phase = Rng(self.seed ^ self.engine_index).next() % (millis * 1_000);
         let interval = (now.0 + phase) / (millis * 1_000);
-        let drawn = Rng(self.seed ^ (self.number << 40) ^ interval).part();
-        if drawn < share { factor } else { 1.0 }
+        let draw = Rng(self.seed ^ (self.engine_index << 40) ^ interval).unit_interval();
+        if draw < share { factor } else { 1.0 }
     }
 
     fn factor(&self, now: MonotonicTime) -> f64 {
         self.lasting * self.momentary(now)
     }
 
-    /// Reads a prompt after those that came before it; when it was read.
-    pub fn read(&mut self, tokens: u32, now: MonotonicTime) -> MonotonicTime {
-        let begins = now.max(self.free_at);
-        let seconds = READ_FIXED_SECONDS + READ_SECONDS_PER_TOKEN * f64::from(tokens);
-        self.free_at = begins + Duration::from_secs_f64(seconds * self.factor(begins));
+    /// Queues a prefill behind the earlier ones. Returns when it completes.
+    pub fn prefill(&mut self, tokens: u32, now: MonotonicTime) -> MonotonicTime {
+        let started_at = now.max(self.free_at);
+        let seconds = PREFILL_FIXED_SECONDS + PREFILL_SECONDS_PER_TOKEN * f64::from(tokens);
+        self.free_at = started_at + Duration::from_secs_f64(seconds * self.factor(started_at));
         self.free_at
     }
 
-    /// Runs an output; its first event, its end and its longest pause.
-    pub fn run(&mut self, tokens: u32, now: MonotonicTime) -> (MonotonicTime, MonotonicTime, Duration) {
+    /// Decodes an output. Returns the times of the first event and of the end, and the maximum time between two events.
+    pub fn decode(&mut self, tokens: u32, now: MonotonicTime) -> (MonotonicTime, MonotonicTime, Duration) {
         self.outputs.retain(|end| *end > now);
-        let beside = 1.0 + EACH_OUTPUT * self.outputs.len() as f64;
-        let first = now + HAND_OVER.mul_f64(self.factor(now));
+        let concurrency_factor = 1.0 + SLOWDOWN_PER_OUTPUT * self.outputs.len() as f64;
+        let first = now + KV_TRANSFER_DURATION.mul_f64(self.factor(now));
         let mut at = first;
-        let mut longest = Duration::ZERO;
-        for _ in 0..tokens / TOKENS_IN_PIECE {
-            let seconds = TOKEN_SECONDS * f64::from(TOKENS_IN_PIECE) * beside * self.factor(at);
-            let pause = Duration::from_secs_f64(seconds);
-            longest = longest.max(pause);
-            at = at + pause;
+        let mut max_gap = Duration::ZERO;
+        for _ in 0..tokens / TOKENS_PER_EVENT {
+            let seconds =
+                DECODE_SECONDS_PER_TOKEN * f64::from(TOKENS_PER_EVENT) * concurrency_factor * self.factor(at);
+            let gap = Duration::from_secs_f64(seconds);
+            max_gap = max_gap.max(gap);
+            at = at + gap;
         }
         self.outputs.push(at);
-        (first, at, longest)
+        (first, at, max_gap)
     }
 }
--- a/crates/core/tests/pace_world/mod.rs
+++ b/crates/core/tests/pace_world/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time whose engines differ for good and whose machines turn slow for moments: several placers
-//! choose engines, hear of each other's work and of paces, and are told how each request went on.
+//! A fleet simulated in virtual time whose engines have different lasting paces and momentary slowdowns. Several placers
+//! choose engines and exchange reports of their load and of paces.
 #![allow(dead_code)]
 
 mod engines;
@@ -15,103 +15,103 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What a fleet is like.
+/// Parameters of a simulation.
 #[derive(Clone, Debug)]
-pub struct World {
-    /// Nodes that choose engines.
+pub struct Scenario {
+    /// Number of nodes that choose engines.
     pub placers: usize,
-    /// Engines that read prompts, and engines that run outputs.
+    /// Numbers of prefill and decode engines.
     pub engines: (usize, usize),
-    /// Lasting factors, in turn.
+    /// Lasting factors, assigned to the engines in turn.
     pub lasting: Vec<f64>,
-    /// Share of the machines that are slow at any moment.
+    /// Share of the machines that are slow at any time.
     pub slow_share: f64,
-    /// Factor by which they are.
+    /// Momentary factor of a slow machine.
     pub slow_factor: f64,
-    /// Time for which they stay so, in milliseconds.
+    /// Time between two draws of the state of a machine, in milliseconds.
     pub slow_millis: u64,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Seconds that are played.
+    /// Simulated time, in seconds.
     pub seconds: u64,
-    /// Share of the words between placers that are lost.
-    pub lost: f64,
-    /// What engines tell as their figure instead of the truth, if they do.
-    pub nonsense: Option<u32>,
+    /// Share of the messages between placers that are lost.
+    pub message_loss: f64,
+    /// Pace that all engines report instead of the true one, in percent.
+    pub invalid_report: Option<u32>,
     /// Setting under test.
     pub pace_use: EnginePaceUse,
-    /// Weight of the time that an output takes.
+    /// Weight of the decode time in routing, as in the settings.
     pub output_time: f64,
-    /// Seed.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
-/// How a day went.
+/// Results of a simulation.
 #[derive(Clone, Debug, Default)]
-pub struct Result {
-    /// Requests that ended.
+pub struct Outcome {
+    /// Completed requests.
     pub requests: usize,
-    /// Those with the first event and every piece in time.
+    /// Completed requests whose first event and gaps between events met their limits.
     pub in_time: usize,
-    /// Requests at the busiest engine that runs outputs over the mean.
-    pub busiest: f64,
-    /// Bytes of words about paces that a placer sent in a second to one other.
+    /// Requests at the busiest decode engine, over the mean.
+    pub busiest_over_mean: f64,
+    /// Bytes of pace reports that a placer sends to one peer per second.
     pub pace_bytes: f64,
-    /// Largest error of a lasting factor at the end, as a factor, relative to the others' mean error.
+    /// Largest error of a lasting factor at the end, relative to the mean error of all engines, as a factor.
     pub lasting_error: f64,
-    /// Learned persistence of a figure, in seconds.
+    /// Estimated persistence of a reported pace, in seconds.
     pub persistence: f64,
 }
 
-impl Result {
-    /// Share in time.
-    pub fn share(&self) -> f64 {
+impl Outcome {
+    /// Share of the completed requests that were in time.
+    pub fn share_in_time(&self) -> f64 {
         self.in_time as f64 / self.requests as f64
     }
 }
 
-const TARGET: Duration = Duration::from_millis(300);
-const LONGEST_PAUSE: Duration = Duration::from_millis(200);
+const FIRST_EVENT_LIMIT: Duration = Duration::from_millis(300);
+const EVENT_GAP_LIMIT: Duration = Duration::from_millis(200);
 const PROMPT_TOKENS: u32 = 2_500;
 const OUTPUT_TOKENS: u32 = 168;
-const WORD_EVERY: u64 = 60;
-const WORD_TAKES: u64 = 3;
+const REPORT_INTERVAL_MS: u64 = 60;
+const REPORT_DELAY_MS: u64 = 3;
 
 #[derive(Clone, Debug)]
 struct Request {
     placer: usize,
     prompt: PromptShape,
     prefixes: Vec<PrefixBlock>,
-    began: MonotonicTime,
+    arrived_at: MonotonicTime,
     draw: u64,
 }
 
 #[derive(Clone, Debug)]
-enum Happening {
-    Arrives,
-    PromptRead {
+enum Event {
+    RequestArrived,
+    PrefillCompleted {
         request: Request,
         ticket: PoolTicket,
         decode: EngineId,
     },
-    Begun {
+    DecodeStarted {
         request: Request,
         ticket: PoolTicket,
     },
-    Ended {
+    DecodeCompleted {
         request: Request,
         ticket: PoolTicket,
         in_time: bool,
     },
-    Words,
-    Heard {
+    ReportsDue,
+    ReportsReceived {
         to: usize,
         from: usize,
-        work: Words,
+        reports: Reports,
     },
 }
 
-type Words = (
+type Reports = (
     Vec<(
         shelfjunction_core::membership::subject::SubjectHandle,
         shelfjunction_core::routing::pool::PeerWork,
@@ -119,89 +119,89 @@
     shelfjunction_core::routing::pool::PaceReports,
 );
 
-struct Play<'w> {
-    world: &'w World,
+struct Simulation<'w> {
+    scenario: &'w Scenario,
     routers: Vec<PoolRouter>,
     engines: BTreeMap<EngineId, SimulatedEngine>,
-    happenings: BTreeMap<(MonotonicTime, u64), Happening>,
-    numbers: u64,
+    events: BTreeMap<(MonotonicTime, u64), Event>,
+    last_event_number: u64,
     rng: Rng,
-    result: Result,
+    outcome: Outcome,
     outputs: BTreeMap<EngineId, usize>,
     pace_bytes: usize,
 }
 
-/// Plays a world.
-pub fn play(world: &World) -> Result {
-    let mut play = Play::new(world);
-    play.later(MonotonicTime::from_millis(1_000), Happening::Arrives);
-    play.later(MonotonicTime::from_millis(1_000), Happening::Words);
-    let end = MonotonicTime::from_millis(1_000 * (1 + world.seconds));
-    while let Some(((now, _), happening)) = play.happenings.pop_first() {
+/// Runs the simulation of a scenario.
+pub fn simulate(scenario: &Scenario) -> Outcome {
+    let mut simulate = Simulation::new(scenario);
+    simulate.schedule(MonotonicTime::from_millis(1_000), Event::RequestArrived);
+    simulate.schedule(MonotonicTime::from_millis(1_000), Event::ReportsDue);
+    let end = MonotonicTime::from_millis(1_000 * (1 + scenario.seconds));
+    while let Some(((now, _), event)) = simulate.events.pop_first() {
         if now > end {
             break;
         }
-        play.happen(happening, now);
+        simulate.handle(event, now);
     }
-    play.finish(end)
+    simulate.finish(end)
 }
 
-impl<'w> Play<'w> {
-    fn new(world: &'w World) -> Self {
+impl<'w> Simulation<'w> {
+    fn new(scenario: &'w Scenario) -> Self {
         let weights = PoolWeights {
             decode_reading_pace: 0.001,
-            engine_pace: world.pace_use,
-            output_time: world.output_time,
+            engine_pace: scenario.pace_use,
+            output_time: scenario.output_time,
             ..PoolWeights::default()
         };
-        let (prefill, decode) = world.engines;
-        let named = |letter: &str, count: usize, stage: EngineStage| -> Vec<_> {
+        let (prefill, decode) = scenario.engines;
+        let engines_named = |letter: &str, count: usize, stage: EngineStage| -> Vec<_> {
             (0..count)
                 .map(|number| engine_with(&format!("{letter}{number:03}"), stage, 64))
                 .collect()
         };
-        let mut listed = named("p", prefill, EngineStage::Prefill);
-        listed.extend(named("d", decode, EngineStage::Decode));
-        let engines = listed.iter().enumerate().map(|(index, engine)| {
-            let lasting = world.lasting[index % world.lasting.len()];
+        let mut engine_list = engines_named("p", prefill, EngineStage::Prefill);
+        engine_list.extend(engines_named("d", decode, EngineStage::Decode));
+        let engines = engine_list.iter().enumerate().map(|(index, engine)| {
+            let lasting = scenario.lasting[index % scenario.lasting.len()];
             (
                 engine.id.clone(),
-                SimulatedEngine::new(lasting, index as u64, world),
+                SimulatedEngine::new(lasting, index as u64, scenario),
             )
         });
         Self {
-            world,
-            routers: vec![router_with(weights, 64, None, &listed); world.placers],
+            scenario,
+            routers: vec![router_with(weights, 64, None, &engine_list); scenario.placers],
             engines: engines.collect(),
-            happenings: BTreeMap::new(),
-            numbers: 0,
-            rng: Rng(world.seed),
-            result: Result::default(),
+            events: BTreeMap::new(),
+            last_event_number: 0,
+            rng: Rng(scenario.seed),
+            outcome: Outcome::default(),
             outputs: BTreeMap::new(),
             pace_bytes: 0,
         }
     }
 
-    fn later(&mut self, at: MonotonicTime, happening: Happening) {
-        self.numbers += 1;
-        self.happenings.insert((at, self.numbers), happening);
+    fn schedule(&mut self, at: MonotonicTime, event: Event) {
+        self.last_event_number += 1;
+        self.events.insert((at, self.last_event_number), event);
     }
 
-    fn happen(&mut self, happening: Happening, now: MonotonicTime) {
-        match happening {
-            Happening::Arrives => self.arrive(now),
-            Happening::PromptRead {
+    fn handle(&mut self, event: Event, now: MonotonicTime) {
+        match event {
+            Event::RequestArrived => self.on_request_arrived(now),
+            Event::PrefillCompleted {
                 request,
                 ticket,
                 decode,
-            } => self.prompt_read(request, &ticket, &decode, now),
-            Happening::Begun { request, ticket } => {
-                let told = self.told(ticket.engine(), now);
+            } => self.on_prefill_completed(request, &ticket, &decode, now),
+            Event::DecodeStarted { request, ticket } => {
+                let reported_load = self.reported_load(ticket.engine(), now);
                 let router = &mut self.routers[request.placer];
-                router.on_told(ticket.engine(), told, now);
+                router.on_told(ticket.engine(), reported_load, now);
                 router.on_output_started(&ticket, &request.prefixes, now);
             }
-            Happening::Ended {
+            Event::DecodeCompleted {
                 request,
                 ticket,
                 in_time,
@@ -209,22 +209,22 @@
                 let router = &mut self.routers[request.placer];
                 router.on_output_ended(&ticket, now);
                 router.on_answered(&ticket);
-                self.result.requests += 1;
-                self.result.in_time += usize::from(in_time);
+                self.outcome.requests += 1;
+                self.outcome.in_time += usize::from(in_time);
             }
-            Happening::Words => self.tell(now),
-            Happening::Heard { to, from, work } => {
-                let (work, paces) = work;
+            Event::ReportsDue => self.send_reports(now),
+            Event::ReportsReceived { to, from, reports } => {
+                let (load, paces) = reports;
                 let node = NodeId::new(format!("n{from}"));
-                self.routers[to].on_peer_load(&node, WorkSlice::ALL, &work, now);
+                self.routers[to].on_peer_load(&node, WorkSlice::ALL, &load, now);
                 self.routers[to].on_pace_reports(&paces, now);
             }
         }
     }
 
-    fn arrive(&mut self, now: MonotonicTime) {
-        let gap = -self.rng.part().max(1e-9).ln() / self.world.rate;
-        self.later(now + Duration::from_secs_f64(gap), Happening::Arrives);
+    fn on_request_arrived(&mut self, now: MonotonicTime) {
+        let gap = -self.rng.unit_interval().max(1e-9).ln() / self.scenario.rate;
+        self.schedule(now + Duration::from_secs_f64(gap), Event::RequestArrived);
         let draw = self.rng.next();
         let prompt = PromptShape {
             model: "m".to_owned(),
@@ -237,10 +237,10 @@
             output_estimate: None,
         };
         let request = Request {
-            placer: draw as usize % self.world.placers,
+            placer: draw as usize % self.scenario.placers,
             prefixes: prompt.prefixes(),
             prompt,
-            began: now,
+            arrived_at: now,
             draw,
         };
         let router = &mut self.routers[request.placer];
@@ -251,11 +251,11 @@
             panic!("no engines chosen");
         };
         let ticket = router.on_prompt_sent(&prefill.id, &query, now);
-        let read_at = self.engine(&prefill.id).read(PROMPT_TOKENS, now);
+        let completed_at = self.engine(&prefill.id).prefill(PROMPT_TOKENS, now);
         let decode = decode.id;
-        self.later(
-            read_at,
-            Happening::PromptRead {
+        self.schedule(
+            completed_at,
+            Event::PrefillCompleted {
                 request,
                 ticket,
                 decode,
@@ -263,28 +263,34 @@
         );
     }
 
-    fn prompt_read(&mut self, request: Request, ticket: &PoolTicket, decode: &EngineId, now: MonotonicTime) {
-        let told = self.told(ticket.engine(), now);
+    fn on_prefill_completed(
+        &mut self,
+        request: Request,
+        ticket: &PoolTicket,
+        decode: &EngineId,
+        now: MonotonicTime,
+    ) {
+        let reported_load = self.reported_load(ticket.engine(), now);
         let zone = ZoneId::new("zone-a");
         let pool = pool();
         let router = &mut self.routers[request.placer];
-        router.on_told(ticket.engine(), told, now);
+        router.on_told(ticket.engine(), reported_load, now);
         router.on_prompt_prefilled(ticket, &request.prefixes, now);
         let query = request.query(&pool, &zone);
         let chosen = router.choose_output(&query, ticket.engine(), now);
         let decode = chosen.map_or_else(|| decode.clone(), |engine| engine.id);
         let ticket = router.on_output_sent(&decode, &query, KvCacheSource::Transfer, now);
         *self.outputs.entry(decode.clone()).or_default() += 1;
-        let (first, end, longest) = self.engine(&decode).run(OUTPUT_TOKENS, now);
-        let in_time = first.since(request.began) <= TARGET && longest <= LONGEST_PAUSE;
-        let begun = Happening::Begun {
+        let (first, end, max_gap) = self.engine(&decode).decode(OUTPUT_TOKENS, now);
+        let in_time = first.since(request.arrived_at) <= FIRST_EVENT_LIMIT && max_gap <= EVENT_GAP_LIMIT;
+        let started = Event::DecodeStarted {
             request: request.clone(),
             ticket: ticket.clone(),
         };
-        self.later(first, begun);
-        self.later(
+        self.schedule(first, started);
+        self.schedule(
             end,
-            Happening::Ended {
+            Event::DecodeCompleted {
                 request,
                 ticket,
                 in_time,
@@ -296,51 +302,54 @@
         self.engines.get_mut(id).expect("a known engine")
     }
 
-    fn told(&mut self, id: &EngineId, now: MonotonicTime) -> ReportedLoad {
-        let nonsense = self.world.nonsense;
-        let figure = (self.engine(id).momentary(now) * 100.0) as u32;
+    fn reported_load(&mut self, id: &EngineId, now: MonotonicTime) -> ReportedLoad {
+        let invalid_report = self.scenario.invalid_report;
+        let percent = (self.engine(id).momentary(now) * 100.0) as u32;
         ReportedLoad {
-            work_time_percent: Some(nonsense.unwrap_or(figure)),
+            work_time_percent: Some(invalid_report.unwrap_or(percent)),
             ..ReportedLoad::default()
         }
     }
 
-    fn tell(&mut self, now: MonotonicTime) {
-        self.later(now + Duration::from_millis(WORD_EVERY), Happening::Words);
+    fn send_reports(&mut self, now: MonotonicTime) {
+        self.schedule(now + Duration::from_millis(REPORT_INTERVAL_MS), Event::ReportsDue);
         for from in 0..self.routers.len() {
-            let work = self.routers[from].own_load();
+            let load = self.routers[from].own_load();
             let paces = self.routers[from].take_pace_reports(8, 2, now);
             self.pace_bytes += 15 * paces.figures.len() + 13 * paces.lasting.len() + 2;
             for to in (0..self.routers.len()).filter(|to| *to != from) {
-                if self.rng.part() >= self.world.lost {
-                    let work = (work.clone(), paces.clone());
-                    self.later(
-                        now + Duration::from_millis(WORD_TAKES),
-                        Happening::Heard { to, from, work },
+                if self.rng.unit_interval() >= self.scenario.message_loss {
+                    let reports = (load.clone(), paces.clone());
+                    self.schedule(
+                        now + Duration::from_millis(REPORT_DELAY_MS),
+                        Event::ReportsReceived { to, from, reports },
                     );
                 }
             }
         }
     }
 
-    fn finish(mut self, now: MonotonicTime) -> Result {
-        let most = self.outputs.values().max().copied().unwrap_or_default();
+    fn finish(mut self, now: MonotonicTime) -> Outcome {
+        let max = self.outputs.values().max().copied().unwrap_or_default();
         let total: usize = self.outputs.values().sum();
-        self.result.busiest = most as f64 * self.world.engines.1 as f64 / total as f64;
-        let seconds = (self.world.seconds * self.world.placers as u64) as f64;
-        self.result.pace_bytes = self.pace_bytes as f64 / seconds;
+        self.outcome.busiest_over_mean = max as f64 * self.scenario.engines.1 as f64 / total as f64;
+        let seconds = (self.scenario.seconds * self.scenario.placers as u64) as f64;
+        self.outcome.pace_bytes = self.pace_bytes as f64 / seconds;
         let router = &self.routers[0];
-        let logs: Vec<f64> = router
+        let log_errors: Vec<f64> = router
             .engines()
             .filter(|state| state.pace().lasting.weight() >= 8.0)
             .map(|state| (state.pace().lasting.factor() / self.engines[&state.engine.id].lasting).ln())
             .collect();
-        let mean = logs.iter().sum::<f64>() / logs.len().max(1) as f64;
-        let worst = logs.iter().map(|log| (log - mean).abs()).fold(0.0, f64::max);
-        self.result.lasting_error = worst.exp();
+        let mean = log_errors.iter().sum::<f64>() / log_errors.len().max(1) as f64;
+        let max_error = log_errors
+            .iter()
+            .map(|log| (log - mean).abs())
+            .fold(0.0, f64::max);
+        self.outcome.lasting_error = max_error.exp();
         let spread = router.pace_spread(now);
-        self.result.persistence = spread.map_or(0.0, |spread| spread.persistence_seconds);
-        self.result
+        self.outcome.persistence = spread.map_or(0.0, |spread| spread.persistence_seconds);
+        self.outcome
     }
 }
 
--- a/crates/core/tests/working_set.rs
+++ b/crates/core/tests/working_set.rs
@@ -99,7 +99,6 @@
     }
 }
 
-/// Requests in a burst.
 const BURST_REQUESTS: u64 = 2_000;
 
 const REQUEST_TIMING: RequestTiming = RequestTiming {
