--- a/crates/core/src/routing/pool/limits.rs
+++ b/crates/core/src/routing/pool/limits.rs
@@ -137,7 +137,7 @@
         let same_stage = self
             .engines
             .values()
-            .filter(|other| other.engine.pool == *pool && other.engine.stage == stage && other.stays());
+            .filter(|other| other.engine.pool == *pool && other.engine.stage == stage && other.is_active());
         let rate_per_engine = own_rate * self.demand.all_to_own(now) / same_stage.count().max(1) as f64;
         if rate_per_engine <= 0.0 {
             return 1.0;
