--- a/crates/core/src/routing/pool/engine.rs
+++ b/crates/core/src/routing/pool/engine.rs
@@ -1,12 +1,12 @@
 //! State that the router keeps for each engine of a pool: listing, load, health and pending orders.
 
-use super::beliefs::{PeerWork, RANKS};
 use super::cordons::EngineCordon;
 use super::dispatches::KvCacheSource;
 use super::pace::EnginePace;
 use super::pauses::RecentPrefill;
-use super::prefix::PrefixBelief;
-use super::risk::BreakShare;
+use super::peer_reports::{PeerLoad, RANK_COUNT};
+use super::prefix_cache::PrefixCacheEstimate;
+use super::risk::FailureRate;
 use super::speed::PrefillSpeed;
 use crate::forwarding::PoolId;
 use crate::identity::{EngineId, NodeId, ZoneId};
@@ -98,7 +98,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EngineLoad {
     /// Prompt tokens waiting for prefill, by priority rank.
-    pub prompt_tokens: [f64; RANKS],
+    pub prompt_tokens: [f64; RANK_COUNT],
     /// Number of requests that have not ended.
     pub requests: f64,
     /// Tokens of KV cache that these requests occupy or will occupy.
@@ -118,12 +118,12 @@
 impl EngineLoad {
     /// Prompt tokens to prefill before a new request of the given rank.
     pub fn prompt_tokens_ahead(&self, rank: usize) -> f64 {
-        self.prompt_tokens[..=rank.min(RANKS - 1)].iter().sum()
+        self.prompt_tokens[..=rank.min(RANK_COUNT - 1)].iter().sum()
     }
 
     /// Prompt tokens to prefill after a new request of the given rank.
     pub fn prompt_tokens_behind(&self, rank: usize) -> f64 {
-        self.prompt_tokens[rank.min(RANKS - 1) + 1..].iter().sum()
+        self.prompt_tokens[rank.min(RANK_COUNT - 1) + 1..].iter().sum()
     }
 
     /// Prompt tokens waiting for prefill, over all ranks.
@@ -131,7 +131,7 @@
         self.prompt_tokens.iter().sum()
     }
 
-    fn add_peer(&mut self, work: &PeerWork) {
+    fn add_peer(&mut self, work: &PeerLoad) {
         for (sum, tokens) in self.prompt_tokens.iter_mut().zip(work.prompt_tokens) {
             *sum += f64::from(tokens);
         }
@@ -140,7 +140,7 @@
         self.moving_tokens += f64::from(work.moving_tokens);
         self.outputs += f64::from(work.outputs);
         self.output_tokens += f64::from(work.output_tokens);
-        let millis = u64::from(work.shortest_bound_millis);
+        let millis = u64::from(work.min_event_gap_limit_millis);
         self.streams += f64::from(work.streams);
         self.add_event_gap_limit((millis > 0).then_some(Duration::from_millis(millis)));
     }
@@ -163,8 +163,8 @@
     }
 
     /// Converts the load to the form that is sent to peers; fractions are cut off.
-    pub fn to_peer_load(&self) -> PeerWork {
-        PeerWork {
+    pub fn to_peer_load(&self) -> PeerLoad {
+        PeerLoad {
             prompt_tokens: self.prompt_tokens.map(|tokens| tokens as u32),
             requests: self.requests as u32,
             memory_tokens: self.memory_tokens as u32,
@@ -172,7 +172,7 @@
             outputs: self.outputs as u32,
             output_tokens: self.output_tokens as u32,
             streams: self.streams as u32,
-            shortest_bound_millis: self
+            min_event_gap_limit_millis: self
                 .min_event_gap_limit
                 .map_or(0, |limit| limit.as_millis() as u32),
         }
@@ -221,7 +221,7 @@
     /// Short identifier of this start of the engine, the same on every node.
     pub handle: SubjectHandle,
     /// Estimate of the prefix blocks in the engine's KV cache.
-    pub prefixes: PrefixBelief,
+    pub prefixes: PrefixCacheEstimate,
     /// Time of the last known response to any node.
     pub(super) last_answer_at: Option<MonotonicTime>,
     /// Stage that the engine has been ordered to change to and the time of the order; cleared once the list shows it.
@@ -237,12 +237,12 @@
     /// End of the last backoff that the engine requested from this node; traffic resumes gradually after it.
     pub(super) backoff_end: Option<MonotonicTime>,
     pub(super) health: Health,
-    pub(super) breaks: BreakShare,
+    pub(super) breaks: FailureRate,
     pub(super) in_flight: BTreeMap<u64, InFlightWork>,
     pub(super) reported_load: Option<(ReportedLoad, MonotonicTime)>,
     /// Estimate of the rate limit that the engine reports in its responses.
     pub(super) limit: LimitEstimate,
-    pub(super) peers: BTreeMap<NodeId, (PeerWork, MonotonicTime)>,
+    pub(super) peers: BTreeMap<NodeId, (PeerLoad, MonotonicTime)>,
     /// Ratio of actual to expected response time, at least one; used while `pace` is not in use.
     pub(super) slowness: f64,
     /// Recent peak of the prompt tokens waiting for prefill.
@@ -265,7 +265,7 @@
         Self {
             handle: SubjectHandle::of_engine(&engine.id),
             engine,
-            prefixes: PrefixBelief::new(cache_tokens),
+            prefixes: PrefixCacheEstimate::new(cache_tokens),
             last_answer_at: None,
             stage_order: None,
             delisted: None,
@@ -274,7 +274,7 @@
             cordon: EngineCordon::default(),
             backoff_end: None,
             health: Health::default(),
-            breaks: BreakShare::default(),
+            breaks: FailureRate::default(),
             in_flight: BTreeMap::new(),
             reported_load: None,
             limit: LimitEstimate::default(),
--- a/crates/core/src/routing/pool/mod.rs
+++ b/crates/core/src/routing/pool/mod.rs
@@ -8,12 +8,10 @@
 //! [`cost`] documents the formula.
 
 mod admission;
-mod beliefs;
 mod choice;
 mod concurrent_work;
 mod cordons;
 pub mod cost;
-mod demand;
 mod dispatches;
 mod ended_starts;
 mod engine;
@@ -24,11 +22,13 @@
 mod pace;
 mod paths;
 pub mod pauses;
+mod peer_reports;
 mod peers;
 mod pool_speeds;
-mod prefix;
+mod prefix_cache;
+mod prompt_demand;
 mod query;
-mod reach;
+mod reachability;
 mod recent_changes;
 mod reclaims;
 mod risk;
@@ -40,8 +40,7 @@
 mod working_set;
 
 pub use admission::{Admission, AdmissionDecision, LATE_RANK, PoolAdmission, RequestTiming};
-pub use beliefs::{PeerWork, PrefixNews, RANKS, SilenceWord, WorkSlice, rank_of};
-pub use choice::{EngineBeliefs, Explanation, PoolRoute};
+pub use choice::{EngineEstimate, Explanation, PoolRoute};
 pub use concurrent_work::ConcurrentWork;
 pub use cordons::{ActiveCordon, AvoidanceReason};
 pub use cost::shared_prefixes;
@@ -55,9 +54,10 @@
     PaceReports, PaceSpread, PoolPace, ReportedPace,
 };
 pub use paths::{PathChange, PathState, Paths};
+pub use peer_reports::{PeerLoad, PeerLoadSlice, PrefixUpdate, RANK_COUNT, SilenceReport, rank_for_priority};
 pub use pool_speeds::PoolSpeeds;
-pub use prefix::PrefixBelief;
-pub use query::{PoolQuery, PrefixBlock, PromptPart, PromptShape, RequestTerms};
+pub use prefix_cache::PrefixCacheEstimate;
+pub use query::{PoolQuery, PrefixBlock, PromptPart, PromptShape, RequestConstraints};
 pub use recent_changes::{ListUpdate, RecentChanges};
 pub use router::PoolRouter;
 pub use signals::NotAccepting;
--- a/crates/core/src/routing/pool/silences.rs
+++ b/crates/core/src/routing/pool/silences.rs
@@ -3,9 +3,9 @@
 //! Placers share these observations because each of them sees only a fraction of the requests. Without the reports,
 //! every placer would have to let requests time out before it avoids an engine.
 
-use super::beliefs::SilenceWord;
 use super::dispatches::PoolTicket;
 use super::paths::PathChange;
+use super::peer_reports::SilenceReport;
 use super::router::PoolRouter;
 use crate::identity::{EngineId, ZoneId};
 use crate::membership::subject::SubjectHandle;
@@ -48,7 +48,7 @@
             return;
         };
         let pause = state.health.on_unresponsive(now);
-        state.breaks.broke(now);
+        state.breaks.record_failure(now);
         let (zone, engine) = (state.engine.zone.clone(), state.handle);
         let from = ticket.sender_zone();
         if pause.is_some() {
@@ -70,7 +70,7 @@
     /// reported request was sent is avoided for a while, unless the path to its zone is suspected.
     pub fn on_peer_silence_reports(
         &mut self,
-        reports: &[SilenceWord],
+        reports: &[SilenceReport],
         avoids_engines: bool,
         now: MonotonicTime,
     ) {
@@ -101,12 +101,12 @@
     }
 
     /// Takes up to `max_reports` pending silences as reports for other placers; the rest stays for the next call.
-    pub fn take_silence_reports(&mut self, max_reports: usize, now: MonotonicTime) -> Vec<SilenceWord> {
+    pub fn take_silence_reports(&mut self, max_reports: usize, now: MonotonicTime) -> Vec<SilenceReport> {
         let rest = self
             .pending_silences
             .split_off(max_reports.min(self.pending_silences.len()));
         let taken = std::mem::replace(&mut self.pending_silences, rest);
-        let reports = taken.into_iter().map(|silence| SilenceWord {
+        let reports = taken.into_iter().map(|silence| SilenceReport {
             engine: silence.engine,
             from: silence.from,
             sent_before_millis: u32::try_from(now.since(silence.sent_at).as_millis()).unwrap_or(u32::MAX),
--- a/crates/core/tests/engine_pace.rs
+++ b/crates/core/tests/engine_pace.rs
@@ -9,7 +9,7 @@
 use shelfjunction_core::routing::pool::{
     EnginePaceUse, EngineStage, KvCacheSource, LastingPace, LastingPaceReport, PacePersistence, PaceReports,
     PoolQuery, PoolRoute, PoolRouter, PoolWeights, PrefixBlock, PromptPart, PromptShape, ReportedLoad,
-    ReportedPace, RequestTerms,
+    ReportedPace, RequestConstraints,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -94,7 +94,7 @@
         zone,
         excluded: &[],
         last_resort: false,
-        terms: RequestTerms::default(),
+        constraints: RequestConstraints::default(),
         rank: 0,
         remaining: Duration::from_secs(5),
         slot_max_wait: Duration::ZERO,
--- a/crates/core/tests/pace_world/mod.rs
+++ b/crates/core/tests/pace_world/mod.rs
@@ -8,8 +8,8 @@
 use engines::{Rng, SimulatedEngine};
 use shelfjunction_core::identity::{EngineId, NodeId, ZoneId};
 use shelfjunction_core::routing::pool::{
-    EnginePaceUse, EngineStage, KvCacheSource, PoolQuery, PoolRoute, PoolRouter, PoolTicket, PoolWeights,
-    PrefixBlock, PromptPart, PromptShape, ReportedLoad, RequestTerms, WorkSlice,
+    EnginePaceUse, EngineStage, KvCacheSource, PeerLoadSlice, PoolQuery, PoolRoute, PoolRouter, PoolTicket,
+    PoolWeights, PrefixBlock, PromptPart, PromptShape, ReportedLoad, RequestConstraints,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::collections::BTreeMap;
@@ -114,7 +114,7 @@
 type Reports = (
     Vec<(
         shelfjunction_core::membership::subject::SubjectHandle,
-        shelfjunction_core::routing::pool::PeerWork,
+        shelfjunction_core::routing::pool::PeerLoad,
     )>,
     shelfjunction_core::routing::pool::PaceReports,
 );
@@ -367,7 +367,7 @@
             zone,
             excluded: &[],
             last_resort: false,
-            terms: RequestTerms::default(),
+            constraints: RequestConstraints::default(),
             rank: 0,
             remaining: Duration::from_secs(5),
             slot_max_wait: Duration::ZERO,
--- a/crates/core/tests/working_set.rs
+++ b/crates/core/tests/working_set.rs
@@ -6,9 +6,9 @@
 use shelfjunction_core::identity::{EngineId, ZoneId};
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::routing::pool::{
-    Admission, EngineStage, KvCacheSource, PeerWork, PoolAdmission, PoolEngine, PoolQuery, PoolRoute,
-    PoolRouter, PoolTicket, PoolWeights, PrefixBlock, PromptPart, PromptShape, RequestTerms, RequestTiming,
-    WorkSlice,
+    Admission, EngineStage, KvCacheSource, PeerLoad, PeerLoadSlice, PoolAdmission, PoolEngine, PoolQuery,
+    PoolRoute, PoolRouter, PoolTicket, PoolWeights, PrefixBlock, PromptPart, PromptShape, RequestConstraints,
+    RequestTiming,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::collections::BTreeSet;
@@ -90,7 +90,7 @@
             zone: &self.zone,
             excluded: &[],
             last_resort: false,
-            terms: RequestTerms::default(),
+            constraints: RequestConstraints::default(),
             rank: 0,
             remaining: Duration::from_secs(5),
             slot_max_wait: Duration::ZERO,
@@ -237,7 +237,7 @@
     let handle = SubjectHandle::of_engine(&reserve_engine);
     let work = PeerWork {
         requests: 1,
-        ..PeerWork::default()
+        ..PeerLoad::default()
     };
     let peer = shelfjunction_core::identity::NodeId::new("peer");
     router.on_peer_load(&peer, WorkSlice::ALL, &[(handle, work)], at(10));
