--- a/crates/core/tests/engine_pace.rs
+++ b/crates/core/tests/engine_pace.rs
@@ -106,7 +106,7 @@
 fn a_reported_pace_applies_immediately_and_decays_to_the_mean() {
     let mut router = router(EnginePaceUse::WhereReported);
     let engine = EngineId::new("d1");
-    router.on_told(&engine, load_report(Some(250)), NOW);
+    router.on_reported_load(&engine, load_report(Some(250)), NOW);
     let immediately = factor(&router, "d1", NOW);
     let later = factor(&router, "d1", NOW + millis(300));
     let too_old = factor(&router, "d1", NOW + millis(5_000));
@@ -124,8 +124,8 @@
     let mut router = router(EnginePaceUse::WhereReported);
     for second in 0..100 {
         let now = NOW + Duration::from_secs(second);
-        router.on_told(&EngineId::new("d1"), load_report(Some(200)), now);
-        router.on_told(&EngineId::new("d2"), load_report(Some(100)), now);
+        router.on_reported_load(&EngineId::new("d1"), load_report(Some(200)), now);
+        router.on_reported_load(&EngineId::new("d2"), load_report(Some(100)), now);
     }
     let late = NOW + Duration::from_secs(200);
     assert!(factor(&router, "d1", late) > 1.7);
@@ -136,7 +136,7 @@
 fn implausible_reports_are_ignored() {
     for percent in [0, 9, 5_001, u32::MAX] {
         let mut router = router(EnginePaceUse::WhereReported);
-        router.on_told(&EngineId::new("d1"), load_report(Some(percent)), NOW);
+        router.on_reported_load(&EngineId::new("d1"), load_report(Some(percent)), NOW);
         assert!(!router.engine(&EngineId::new("d1")).unwrap().pace().in_use());
         assert_eq!(factor(&router, "d1", NOW), 1.0);
         let reports = PaceReports {
@@ -148,7 +148,7 @@
             lasting: Vec::new(),
         };
         router.on_pace_reports(&reports, NOW);
-        router.on_told(&EngineId::new("d2"), load_report(Some(100)), NOW);
+        router.on_reported_load(&EngineId::new("d2"), load_report(Some(100)), NOW);
         assert_eq!(factor(&router, "d1", NOW), 1.0);
     }
 }
@@ -160,7 +160,7 @@
     for router in [&mut without_reports, &mut off] {
         for second in 0..30 {
             let now = NOW + Duration::from_secs(second);
-            router.on_told(&EngineId::new("d1"), load_report(None), now);
+            router.on_reported_load(&EngineId::new("d1"), load_report(None), now);
             run_prefill(router, "p1", millis(90 + 13 * (second % 5)), now);
             run_decode(router, "d1", millis(400), now);
         }
@@ -182,7 +182,7 @@
     let mut router = router(EnginePaceUse::WhereReported);
     for round in 0..200 {
         let now = NOW + millis(1_000 * round);
-        router.on_told(&EngineId::new("d1"), load_report(Some(100)), now);
+        router.on_reported_load(&EngineId::new("d1"), load_report(Some(100)), now);
         run_decode(&mut router, "d1", millis(300), now);
         run_decode(&mut router, "d2", millis(600), now);
     }
@@ -204,12 +204,12 @@
         for (engine, slow) in [("d1", round % 3 == 0), ("d2", round % 3 == 1)] {
             let percent = if slow { 300 } else { 100 };
             let took = if slow { 1_200 } else { 400 };
-            router.on_told(&EngineId::new(engine), load_report(Some(percent)), now);
+            router.on_reported_load(&EngineId::new(engine), load_report(Some(percent)), now);
             let (pool, zone, prompt) = (pool(), ZoneId::new("zone-a"), prompt());
             let query = query(&pool, &zone, &prompt, &[]);
             let ticket = router.on_output_sent(&EngineId::new(engine), &query, KvCacheSource::Transfer, now);
             router.on_output_started(&ticket, &[], now);
-            router.on_told(
+            router.on_reported_load(
                 &EngineId::new(engine),
                 load_report(Some(percent)),
                 now + millis(took),
@@ -261,13 +261,13 @@
     let mut old = router(EnginePaceUse::WhereReported);
     for round in 0..60 {
         let now = NOW + millis(1_000 * round);
-        old.on_told(&EngineId::new("d1"), load_report(Some(100)), now);
+        old.on_reported_load(&EngineId::new("d1"), load_report(Some(100)), now);
         run_decode(&mut old, "d1", millis(300), now);
         run_decode(&mut old, "d2", millis(900), now);
     }
     let now = NOW + Duration::from_secs(70);
     let mut new = router(EnginePaceUse::WhereReported);
-    new.on_told(&EngineId::new("p1"), load_report(Some(100)), now);
+    new.on_reported_load(&EngineId::new("p1"), load_report(Some(100)), now);
     // Each batch reports one engine; the first batch is lost.
     let batches: Vec<_> = (0..4)
         .map(|_| old.take_pace_reports(8, 1, now))
@@ -280,8 +280,8 @@
     let known = factor(&old, "d2", now) / factor(&old, "d1", now);
     assert!(ratio > 2.0 && ratio < known * 1.2, "{ratio} {known}");
     // A pace that differs from the estimate is sent once, with its age; others are not sent.
-    old.on_told(&EngineId::new("d1"), load_report(Some(250)), now);
-    old.on_told(&EngineId::new("d2"), load_report(Some(100)), now);
+    old.on_reported_load(&EngineId::new("d1"), load_report(Some(250)), now);
+    old.on_reported_load(&EngineId::new("d2"), load_report(Some(100)), now);
     let reports = old.take_pace_reports(8, 0, now + millis(50));
     let handle = old.handle_of(&EngineId::new("d1"));
     assert_eq!(
@@ -320,13 +320,13 @@
         let mut router = router(EnginePaceUse::WhereReported);
         for round in 0..40 {
             let now = NOW + millis(1_000 * round);
-            router.on_told(&EngineId::new("d1"), load_report(Some(100)), now);
+            router.on_reported_load(&EngineId::new("d1"), load_report(Some(100)), now);
             run_decode(&mut router, "d1", millis(400), now);
             run_decode(&mut router, "d2", millis(400), now);
         }
         let now = NOW + Duration::from_secs(60);
-        router.on_told(&EngineId::new("d1"), load_report(Some(percents[0])), now);
-        router.on_told(&EngineId::new("d2"), load_report(Some(percents[1])), now);
+        router.on_reported_load(&EngineId::new("d1"), load_report(Some(percents[0])), now);
+        router.on_reported_load(&EngineId::new("d2"), load_report(Some(percents[1])), now);
         let (pool, zone, prompt) = (pool(), ZoneId::new("zone-a"), prompt());
         let query = query(&pool, &zone, &prompt, &[]);
         match router.choose(&query, now) {
--- a/crates/core/tests/pace_world/mod.rs
+++ b/crates/core/tests/pace_world/mod.rs
@@ -198,7 +198,7 @@
             Event::DecodeStarted { request, ticket } => {
                 let reported_load = self.reported_load(ticket.engine(), now);
                 let router = &mut self.routers[request.placer];
-                router.on_told(ticket.engine(), reported_load, now);
+                router.on_reported_load(ticket.engine(), reported_load, now);
                 router.on_output_started(&ticket, &request.prefixes, now);
             }
             Event::DecodeCompleted {
@@ -216,7 +216,7 @@
             Event::ReportsReceived { to, from, reports } => {
                 let (load, paces) = reports;
                 let node = NodeId::new(format!("n{from}"));
-                self.routers[to].on_peer_load(&node, WorkSlice::ALL, &load, now);
+                self.routers[to].on_peer_load(&node, PeerLoadSlice::ALL, &load, now);
                 self.routers[to].on_pace_reports(&paces, now);
             }
         }
@@ -274,7 +274,7 @@
         let zone = ZoneId::new("zone-a");
         let pool = pool();
         let router = &mut self.routers[request.placer];
-        router.on_told(ticket.engine(), reported_load, now);
+        router.on_reported_load(ticket.engine(), reported_load, now);
         router.on_prompt_prefilled(ticket, &request.prefixes, now);
         let query = request.query(&pool, &zone);
         let chosen = router.choose_output(&query, ticket.engine(), now);
--- a/crates/core/tests/working_set.rs
+++ b/crates/core/tests/working_set.rs
@@ -235,12 +235,12 @@
     let mut router = fleet_of(3_000);
     let reserve_engine = router.reserve().next().unwrap().id.clone();
     let handle = SubjectHandle::of_engine(&reserve_engine);
-    let work = PeerWork {
+    let load = PeerLoad {
         requests: 1,
         ..PeerLoad::default()
     };
     let peer = shelfjunction_core::identity::NodeId::new("peer");
-    router.on_peer_load(&peer, WorkSlice::ALL, &[(handle, work)], at(10));
+    router.on_peer_load(&peer, PeerLoadSlice::ALL, &[(handle, load)], at(10));
     assert!(router.engine(&reserve_engine).is_some());
 }
 
