--- a/crates/core/src/routing/pool/concurrent_work.rs
+++ b/crates/core/src/routing/pool/concurrent_work.rs
@@ -25,11 +25,11 @@
         let Some(state) = self.engines.get(engine) else {
             return ConcurrentWork::default();
         };
-        let load = state.load(now);
+        let work = state.load(now);
         ConcurrentWork {
-            outputs: load.outputs as u32,
-            prompt_tokens: load.all_prompt_tokens() as u64,
-            transfer_tokens: load.transfer_tokens as u64,
+            outputs: work.outputs as u32,
+            prompt_tokens: work.all_prompt_tokens() as u64,
+            transfer_tokens: work.transfer_tokens as u64,
             work_factor_percent: (state.work_factor(now) * 100.0) as u32,
         }
     }
