--- a/crates/core/src/routing/pool/dispatches.rs
+++ b/crates/core/src/routing/pool/dispatches.rs
@@ -256,7 +256,7 @@
         let expected = speed.seconds(work.tokens_until_prefilled);
         // Excludes requests that were queued at a full engine: their duration includes the queueing time.
         if work.kv_source.is_none() || work.had_free_slot {
-            if state.pace.in_use {
+            if state.pace.is_enabled {
                 let momentary = (work.momentary_pace + state.pace.momentary_factor(now)) / 2.0;
                 let factor = momentary * state.pace.lasting.factor();
                 let fixed = speed.fixed_seconds();
--- a/crates/core/src/routing/pool/engine.rs
+++ b/crates/core/src/routing/pool/engine.rs
@@ -319,7 +319,7 @@
 
     /// Estimated ratio of the time that work takes here to the time at an average engine of the pool.
     pub fn work_factor(&self, now: MonotonicTime) -> f64 {
-        if self.pace.in_use() {
+        if self.pace.is_enabled() {
             self.pace.factor(now)
         } else {
             self.slowness
@@ -332,7 +332,7 @@
     /// requests not yet reported by peers, which is no longer at a slow engine; scaling it as well would favor queues at fast
     /// engines over idle engines.
     pub fn prefill_seconds(&self, line: &PrefillSpeed, tokens: f64, now: MonotonicTime) -> f64 {
-        if self.pace.in_use() {
+        if self.pace.is_enabled() {
             line.seconds(tokens * self.pace.factor(now))
         } else {
             self.slowness * line.seconds(tokens)
--- a/crates/core/src/routing/pool/list_changes.rs
+++ b/crates/core/src/routing/pool/list_changes.rs
@@ -30,7 +30,7 @@
     }
 
     /// Records a change of an entry; a version older than the recorded one has no effect.
-    pub fn note(&mut self, name: &str, version: u64) {
+    pub fn record(&mut self, name: &str, version: u64) {
         let last = self.last.entry(digest(name)).or_default();
         *last = version.max(*last);
         self.enforce_max_entries();
--- a/crates/core/src/routing/pool/listing.rs
+++ b/crates/core/src/routing/pool/listing.rs
@@ -75,7 +75,7 @@
             if version <= before {
                 continue;
             }
-            self.known_changes.note(change.name(), version);
+            self.known_changes.record(change.name(), version);
             if self.partial && self.lists_unknown_engine(&change) {
                 continue;
             }
@@ -105,7 +105,7 @@
         }
         if was_complete {
             let names = applied.iter().map(ListChange::name);
-            names.for_each(|name| self.known_changes.note(name, snapshot.version));
+            names.for_each(|name| self.known_changes.record(name, snapshot.version));
         } else {
             self.known_changes = KnownChanges::complete_since(snapshot.version);
         }
--- a/crates/core/src/routing/pool/pace/mod.rs
+++ b/crates/core/src/routing/pool/pace/mod.rs
@@ -61,7 +61,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EnginePace {
     /// Whether routing takes the pace into account.
-    pub(super) in_use: bool,
+    pub(super) is_enabled: bool,
     /// Pace of the engine relative to its pool, independent of its machine's current load.
     pub lasting: LastingPace,
     /// Pace of the machine at this moment.
@@ -74,8 +74,8 @@
 
 impl EnginePace {
     /// Whether routing takes the pace into account.
-    pub fn in_use(&self) -> bool {
-        self.in_use
+    pub fn is_enabled(&self) -> bool {
+        self.is_enabled
     }
 
     /// Factor by which work lasts longer now than usual in the pool.
--- a/crates/core/src/routing/pool/pace/router.rs
+++ b/crates/core/src/routing/pool/pace/router.rs
@@ -99,7 +99,7 @@
         if is_large_change && self.unsent_paces.len() < MAX_UNSENT && !self.unsent_paces.contains(&handle) {
             self.unsent_paces.push(handle);
         }
-        if changed || !state.pace.in_use {
+        if changed || !state.pace.is_enabled {
             let pool = state.engine.pool.clone();
             self.apply_pool_traits(&pool);
         }
@@ -187,7 +187,7 @@
             return;
         };
         let took = now.since(first_event_at);
-        if !state.pace.in_use || work.output_tokens < MIN_OUTPUT_TOKENS || took < MIN_OUTPUT_DURATION {
+        if !state.pace.is_enabled || work.output_tokens < MIN_OUTPUT_TOKENS || took < MIN_OUTPUT_DURATION {
             return;
         }
         let momentary = (work.momentary_pace + state.pace.momentary_factor(now)) / 2.0;
@@ -222,7 +222,7 @@
     pub(in crate::routing::pool) fn mean_relative_speed(&self, pool: &PoolId) -> f64 {
         let engines = self.engines.values().filter(|state| state.engine.pool == *pool);
         let speeds: Vec<f64> = engines
-            .filter(|state| state.pace.in_use && state.is_active())
+            .filter(|state| state.pace.is_enabled && state.is_active())
             .map(|state| 1.0 / state.pace.average_factor())
             .collect();
         if speeds.is_empty() {
@@ -311,16 +311,16 @@
 
     /// Range of the paces of engines; absent if paces are used for no engine.
     pub fn pace_spread(&self, now: MonotonicTime) -> Option<PaceSpread> {
-        let in_use = || self.engines.values().filter(|state| state.pace.in_use);
-        let lasting = || in_use().map(|state| state.pace.lasting.factor());
+        let enabled = || self.engines.values().filter(|state| state.pace.is_enabled);
+        let lasting = || enabled().map(|state| state.pace.lasting.factor());
         let persistences = self.paces.values().map(|pace| pace.traits().persistence_seconds);
         Some(PaceSpread {
             min_lasting: lasting().min_by(f64::total_cmp)?,
             max_lasting: lasting().max_by(f64::total_cmp)?,
-            max_momentary: in_use()
+            max_momentary: enabled()
                 .map(|state| state.pace.momentary_factor(now))
                 .max_by(f64::total_cmp)?,
-            engines_with_current_pace: in_use()
+            engines_with_current_pace: enabled()
                 .filter(|state| state.pace.momentary_age(now).is_some())
                 .count(),
             persistence_seconds: persistences.min_by(f64::total_cmp).unwrap_or_default(),
@@ -329,7 +329,7 @@
 }
 
 fn apply_traits(state: &mut EngineState, pool: Option<&super::PoolPace>, pace_use: EnginePaceUse) {
-    state.pace.in_use = match pace_use {
+    state.pace.is_enabled = match pace_use {
         EnginePaceUse::Off => false,
         EnginePaceUse::WhereReported => pool.is_some_and(|pool| pool.has_reports),
         EnginePaceUse::Always => true,
--- a/crates/core/src/routing/pool/router.rs
+++ b/crates/core/src/routing/pool/router.rs
@@ -127,7 +127,7 @@
         });
         let engines = &self.engines;
         self.engine_of.retain(|_, engine| engines.contains_key(engine));
-        self.end_use(engine);
+        self.remove_delisted_engine(engine);
     }
 
     /// Notes that an engine's entry can't be read: no start of its name is used any more, in doubt or not. Returns those
@@ -142,7 +142,10 @@
             state.engine.id.clone()
         });
         let starts: Vec<EngineId> = starts.collect();
-        starts.iter().chain([entry]).for_each(|start| self.end_use(start));
+        starts
+            .iter()
+            .chain([entry])
+            .for_each(|start| self.remove_delisted_engine(start));
         starts
     }
 
--- a/crates/core/src/routing/pool/signals.rs
+++ b/crates/core/src/routing/pool/signals.rs
@@ -66,7 +66,7 @@
         if let Some(state) = self.state_of(engine) {
             state.engine.leaving = true;
         }
-        self.withdraw(engine);
+        self.remove_from_group(engine);
         true
     }
 
--- a/crates/core/src/routing/pool/working_set/groups.rs
+++ b/crates/core/src/routing/pool/working_set/groups.rs
@@ -70,7 +70,7 @@
     /// Whether all engines of the pool are in use.
     pub(super) fn uses_all_engines(&self, pool: &PoolId, settings: &WorkingSetSettings) -> bool {
         let listed = self.listed.get(pool).copied().unwrap_or_default();
-        listed <= settings.whole_up_to || self.billed_pools.contains(pool)
+        listed <= settings.use_all_up_to || self.billed_pools.contains(pool)
     }
 
     /// Adds an engine to its group without bringing it into use. Returns the index of the group.
@@ -88,7 +88,7 @@
                 stage: engine.stage,
                 in_use: BTreeSet::new(),
                 reserve: BTreeMap::new(),
-                wanted: settings.least_in_group as f64,
+                wanted: settings.min_in_group as f64,
                 unusable: 0,
                 last_logged: 0,
             });
--- a/crates/core/src/routing/pool/working_set/members.rs
+++ b/crates/core/src/routing/pool/working_set/members.rs
@@ -44,12 +44,12 @@
     }
 
     /// Removes an engine that is no longer listed from its group and brings another one into use.
-    pub(in crate::routing::pool) fn end_use(&mut self, engine: &EngineId) {
-        self.withdraw(SubjectHandle::of_engine(engine));
+    pub(in crate::routing::pool) fn remove_delisted_engine(&mut self, engine: &EngineId) {
+        self.remove_from_group(SubjectHandle::of_engine(engine));
     }
 
     /// Removes an engine from its group and brings another one into use.
-    pub(in crate::routing::pool) fn withdraw(&mut self, engine: SubjectHandle) {
+    pub(in crate::routing::pool) fn remove_from_group(&mut self, engine: SubjectHandle) {
         if let Some(index) = self.working_set.remove_engine(engine) {
             self.refill(index);
         }
@@ -84,9 +84,9 @@
             let load = self.load_of_group(index, now);
             let group = &mut self.working_set.groups[index];
             group.unusable = load.unusable;
-            group.wanted = (load.busy_engines / settings.full_share)
+            group.wanted = (load.busy_engines / settings.target_utilization)
                 .max(group.wanted * decay)
-                .max(settings.least_in_group as f64);
+                .max(settings.min_in_group as f64);
             self.refill(index);
             self.retire(index, now);
         }
--- a/crates/core/src/routing/pool/working_set/mod.rs
+++ b/crates/core/src/routing/pool/working_set/mod.rs
@@ -9,7 +9,7 @@
 //! load of a group = prefill engines: sum over the engines in use, for each engine with queued prompt tokens
 //!                                    max(1, seconds of queued prefill / PREFILL_SECONDS_PER_BUSY_ENGINE)
 //!                   other engines:   sum over the engines in use of max(requests / slots, tokens / KV cache tokens)
-//! wanted          = max(least_in_group, load / full_share), which decays after a peak
+//! wanted          = max(min_in_group, load / target_utilization), which decays after a peak
 //! target          = wanted + engines in use that take no work now (paused, cordoned, changing their stage)
 //! in use          = the first `target` engines in the order of the digests of their names
 //! ```
@@ -20,7 +20,7 @@
 //! ([`PoolRouter::admit_or_grow`]).
 //!
 //! An engine that is no longer wanted returns to the reserve once it has been unused for the hold time, and its state is
-//! dropped. All engines are in use in a pool of up to `whole_up_to` engines and in a pool whose engines are billed by the
+//! dropped. All engines are in use in a pool of up to `use_all_up_to` engines and in a pool whose engines are billed by the
 //! second.
 
 mod groups;
@@ -41,11 +41,14 @@
 #[serde(deny_unknown_fields, default)]
 pub struct WorkingSetSettings {
     /// Largest number of listed engines at which all engines of a pool are in use.
-    pub whole_up_to: usize,
+    #[serde(rename = "whole_up_to")]
+    pub use_all_up_to: usize,
     /// Minimum number of engines in use per pool, zone and stage; absorbs bursts and engine failures.
-    pub least_in_group: usize,
+    #[serde(rename = "least_in_group")]
+    pub min_in_group: usize,
     /// Target utilization: the share of the engines in use that the load may keep busy, above 0 and at most 1.
-    pub full_share: f64,
+    #[serde(rename = "full_share")]
+    pub target_utilization: f64,
     /// Seconds in which the wanted number decays to 1/e after a peak. Also how long an engine must be unused before it
     /// returns to the reserve.
     pub hold_seconds: f64,
@@ -54,9 +57,9 @@
 impl Default for WorkingSetSettings {
     fn default() -> Self {
         Self {
-            whole_up_to: 200,
-            least_in_group: 20,
-            full_share: 0.4,
+            use_all_up_to: 200,
+            min_in_group: 20,
+            target_utilization: 0.4,
             hold_seconds: 60.0,
         }
     }
@@ -73,11 +76,15 @@
                 allowed: allowed.to_owned(),
             });
         };
-        if self.least_in_group == 0 {
+        if self.min_in_group == 0 {
             reject("least_in_group", "0".to_owned(), "1 or more");
         }
-        if !(self.full_share > 0.0 && self.full_share <= 1.0) {
-            reject("full_share", self.full_share.to_string(), "above 0, at most 1");
+        if !(self.target_utilization > 0.0 && self.target_utilization <= 1.0) {
+            reject(
+                "full_share",
+                self.target_utilization.to_string(),
+                "above 0, at most 1",
+            );
         }
         if !(self.hold_seconds.is_finite() && self.hold_seconds >= 1.0) {
             reject("hold_seconds", self.hold_seconds.to_string(), "1 or more");
--- a/crates/core/tests/engine_pace.rs
+++ b/crates/core/tests/engine_pace.rs
@@ -137,7 +137,7 @@
     for percent in [0, 9, 5_001, u32::MAX] {
         let mut router = router(EnginePaceUse::WhereReported);
         router.on_reported_load(&EngineId::new("d1"), load_report(Some(percent)), NOW);
-        assert!(!router.engine(&EngineId::new("d1")).unwrap().pace().in_use());
+        assert!(!router.engine(&EngineId::new("d1")).unwrap().pace().is_enabled());
         assert_eq!(factor(&router, "d1", NOW), 1.0);
         let reports = PaceReports {
             figures: vec![ReportedPace {
--- a/crates/core/tests/engine_signals.rs
+++ b/crates/core/tests/engine_signals.rs
@@ -76,10 +76,10 @@
     fn no_other_source_revokes_a_drain_that_an_engine_announced(
         before in prop::collection::vec(source(), 0..4),
         after in prop::collection::vec((source(), 0_u64..8_000), 0..12),
-        whole_up_to in prop_oneof![Just(0_usize), Just(200)],
+        use_all_up_to in prop_oneof![Just(0_usize), Just(200)],
     ) {
         let weights = PoolWeights {
-            working_set: WorkingSetSettings { whole_up_to, ..WorkingSetSettings::default() },
+            working_set: WorkingSetSettings { use_all_up_to, ..WorkingSetSettings::default() },
             ..PoolWeights::default()
         };
         let drains = engine("drains", 0);
@@ -115,8 +115,8 @@
 fn an_engine_of_the_reserve_takes_the_place_of_one_that_drains_at_once() {
     let weights = PoolWeights {
         working_set: WorkingSetSettings {
-            whole_up_to: 0,
-            least_in_group: 1,
+            use_all_up_to: 0,
+            min_in_group: 1,
             ..WorkingSetSettings::default()
         },
         ..PoolWeights::default()
--- a/crates/core/tests/engines_in_use.rs
+++ b/crates/core/tests/engines_in_use.rs
@@ -140,7 +140,7 @@
     let mut listing = EngineListing::default();
     listing.apply_in_use_snapshot(&snapshot(20, vec![engine("a"), engine("b")]), &full_history());
     let mut changes = full_history();
-    changes.note("b", 25);
+    changes.record("b", 25);
     listing.apply_in_use_snapshot(&snapshot(30, vec![engine("a")]), &changes);
     let older = snapshot(20, vec![engine("a"), engine("b")]);
     assert_eq!(listing.apply_in_use_snapshot(&older, &full_history()), []);
@@ -161,7 +161,7 @@
 #[test]
 fn the_known_changes_are_bounded_and_complete_after_a_version() {
     let mut known = full_history();
-    (1..=50_000).for_each(|version| known.note(&format!("engine-{version}"), version));
+    (1..=50_000).for_each(|version| known.record(&format!("engine-{version}"), version));
     assert!(
         known.is_unchanged_since("engine-1", 49_999),
         "evicted, and unchanged after the oldest known change"
--- a/crates/core/tests/pool_router.rs
+++ b/crates/core/tests/pool_router.rs
@@ -443,7 +443,7 @@
     let weights = PoolWeights {
         decode_reading_pace: 0.001,
         working_set: WorkingSetSettings {
-            whole_up_to: 2_000,
+            use_all_up_to: 2_000,
             ..WorkingSetSettings::default()
         },
         ..PoolWeights::default()
--- a/crates/protocol/tests/node_formats.rs
+++ b/crates/protocol/tests/node_formats.rs
@@ -161,7 +161,7 @@
 #[test]
 fn an_answer_in_sections_says_the_same_and_that_a_list_is_partial() {
     let mut changes = KnownChanges::complete_since(290);
-    changes.note("engine", 295);
+    changes.record("engine", 295);
     let partial = Snapshot {
         list_is_partial: true,
         list_changes: Some(changes),
