--- a/crates/core/src/routing/pool/engine.rs
+++ b/crates/core/src/routing/pool/engine.rs
@@ -321,7 +321,7 @@
 
     /// Estimated ratio of the time that work takes here to the time at an average engine of the pool.
     pub fn work_factor(&self, now: MonotonicTime) -> f64 {
-        if self.pace.in_use() {
+        if self.pace.is_enabled() {
             self.pace.factor(now)
         } else {
             self.slowness
