--- a/crates/core/src/routing/pool/engine.rs
+++ b/crates/core/src/routing/pool/engine.rs
@@ -334,7 +334,7 @@
     /// behind requests not yet reported by peers, which is no longer at a slow engine; scaling it as well would favor
     /// queues at fast engines over idle engines.
     pub fn prefill_seconds(&self, speed: &PrefillSpeed, tokens: f64, now: MonotonicTime) -> f64 {
-        if self.pace.in_use() {
+        if self.pace.is_enabled() {
             speed.seconds(tokens * self.pace.factor(now))
         } else {
             self.slowness * speed.seconds(tokens)
