--- a/crates/core/src/placing/placement_table.rs
+++ b/crates/core/src/placing/placement_table.rs
@@ -240,7 +240,7 @@
         let verdict = AdmissionVerdict {
             admission: decision.admission,
             expected: decision.expected,
-            error: decision.error as f32,
+            error: decision.error_factor as f32,
             turned_away: decision.late_or_refused_share as f32,
             standing: decision.standing,
         };
--- a/crates/core/src/rate_limit/estimate.rs
+++ b/crates/core/src/rate_limit/estimate.rs
@@ -117,7 +117,7 @@
     }
 
     /// Notes that no slot is free before a time has passed.
-    pub fn note_slot(&mut self, wait: Duration, now: MonotonicTime) {
+    pub fn record_slot_wait(&mut self, wait: Duration, now: MonotonicTime) {
         self.next_slot = Some(now + wait.min(BELIEVED_FOR));
     }
 
--- a/crates/core/src/routing/pool/admission.rs
+++ b/crates/core/src/routing/pool/admission.rs
@@ -43,9 +43,9 @@
     pub allowance_millis: u64,
     /// Fraction of the remaining time within which the first event of a late request must be expected, 0 to 1.
     pub late_share: f64,
-    /// Share of late or refused requests, above 0 and at most 1, from which admission is strictest: a request is then
-    /// admitted only if it is likely to meet its target. At a lower share it is rejected only if it is likely to be
-    /// late.
+    /// Share of late or refused requests at which admission is strictest, above 0 and at most 1. From this share on,
+    /// only requests that are likely to meet their target are admitted; below it, only likely late requests are
+    /// rejected.
     pub full_care_share: f64,
     /// Minimum `retry_after` of a refusal, in milliseconds.
     pub least_return_millis: u64,
@@ -134,10 +134,10 @@
     /// Estimated time until the first event; zero if there is no estimate.
     pub expected: Duration,
     /// Factor applied to estimates to cover their usual error.
-    pub error: f64,
+    pub error_factor: f64,
     /// Recent share of requests that could not meet their target and were served late or refused.
     pub late_or_refused_share: f64,
-    /// Whether the estimate exceeds the target, regardless of tenant and kind.
+    /// Whether the estimate exceeds the target without the penalty for the usage of the tenant and kind.
     pub misses_target: bool,
     /// Queueing time as a fraction of the longest with which the target would be met; absent if even an empty queue
     /// would miss it.
@@ -195,7 +195,7 @@
             admission: Admission::InTime,
             route,
             expected: Duration::ZERO,
-            error: speeds.estimate_error.factor(strictness),
+            error_factor: speeds.estimate_error.factor(strictness),
             late_or_refused_share: speeds.rejection_rate.share(),
             misses_target: false,
             queue_share: None,
@@ -210,13 +210,15 @@
         decision.tokens = expected.prefill_tokens + f64::from(output);
         let allowance = Duration::from_millis(settings.allowance_millis);
         let max_seconds = timing.target.saturating_sub(allowance).as_secs_f64();
-        let max_queue_seconds = max_seconds - (expected.seconds - expected.queue_seconds) * decision.error;
-        decision.queue_share =
-            (max_queue_seconds > 0.0).then(|| expected.queue_seconds * decision.error / max_queue_seconds);
-        decision.misses_target = expected.seconds * decision.error > max_seconds;
+        let max_queue_seconds =
+            max_seconds - (expected.seconds - expected.queue_seconds) * decision.error_factor;
+        decision.queue_share = (max_queue_seconds > 0.0)
+            .then(|| expected.queue_seconds * decision.error_factor / max_queue_seconds);
+        decision.misses_target = expected.seconds * decision.error_factor > max_seconds;
         decision.standing = self.standing(query, settings, now);
         let queue_penalty = f64::from(decision.standing.shortened) - 1.0;
-        let weighted_seconds = (expected.seconds + expected.queue_seconds * queue_penalty) * decision.error;
+        let weighted_seconds =
+            (expected.seconds + expected.queue_seconds * queue_penalty) * decision.error_factor;
         if weighted_seconds > max_seconds && !is_exempt_large_prompt(&decision, query, &settings.sharing) {
             self.defer_or_refuse(
                 &mut decision,
@@ -369,9 +371,9 @@
     }
 
     /// Records the estimated and the actual time until the first event of a request admitted in time.
-    pub fn on_first_event(&mut self, query: &PoolQuery<'_>, expected: Duration, took: Duration) {
+    pub fn on_first_event(&mut self, query: &PoolQuery<'_>, expected: Duration, actual: Duration) {
         let default_speeds = self.assumed_speeds();
         let speeds = self.speeds.entry(query.pool.clone()).or_insert(default_speeds);
-        speeds.estimate_error.observe(expected, took);
+        speeds.estimate_error.observe(expected, actual);
     }
 }
--- a/crates/core/src/routing/pool/dispatches.rs
+++ b/crates/core/src/routing/pool/dispatches.rs
@@ -293,7 +293,7 @@
         let rank = query.rank;
         if let Some(state) = self.engines.get(engine) {
             let (pool, stage) = (state.engine.pool.clone(), state.engine.stage);
-            self.count_sent(&pool, stage, now);
+            self.record_sent_request(&pool, stage, now);
         }
         self.demand.on_sent(prefill.computed, now);
         if let Some(state) = self.engines.get_mut(engine) {
--- a/crates/core/src/routing/pool/limits.rs
+++ b/crates/core/src/routing/pool/limits.rs
@@ -66,7 +66,7 @@
 
 impl PoolRouter {
     /// Updates the limit of an engine from its answer to a request sent at `sent_at`.
-    pub fn on_answered_limit(
+    pub fn on_response_limit(
         &mut self,
         engine: &EngineId,
         response_limit: &ResponseLimit,
@@ -86,15 +86,15 @@
         let change = state.limit.on_notice(notice.limit, now - age);
         let wait = Duration::from_millis(u64::from(notice.slot_wait_millis));
         if wait > state.slot_wait(now) {
-            state.limit.note_slot(wait, now);
+            state.limit.record_slot_wait(wait, now);
         }
         (change == LimitChange::Changed).then_some(&*state)
     }
 
     /// Records the time until the next request slot of an engine.
-    pub fn note_slot(&mut self, engine: SubjectHandle, wait: Duration, now: MonotonicTime) {
+    pub fn record_slot_wait(&mut self, engine: SubjectHandle, wait: Duration, now: MonotonicTime) {
         if let Some(state) = self.state_of(engine) {
-            state.limit.note_slot(wait, now);
+            state.limit.record_slot_wait(wait, now);
         }
     }
 
@@ -119,13 +119,13 @@
     }
 
     /// Adds a request to the rate of its pool and stage.
-    pub(super) fn count_sent(&mut self, pool: &PoolId, stage: EngineStage, now: MonotonicTime) {
+    pub(super) fn record_sent_request(&mut self, pool: &PoolId, stage: EngineStage, now: MonotonicTime) {
         let key = (pool.clone(), stage);
         self.sent_rates.entry(key).or_default().on_sent(now);
     }
 
     /// Fraction of the expected request rate of an engine that its limit allows, at most one. The expected rate is the
-    /// rate of all nodes to its pool and stage, divided evenly among the engines that stay.
+    /// rate of all nodes to its pool and stage, divided evenly among the active engines.
     pub(super) fn share_within_limit(&self, state: &EngineState, now: MonotonicTime) -> f64 {
         let Some(limit) = state.rate_limit() else {
             return 1.0;
--- a/crates/core/src/routing/pool/pauses.rs
+++ b/crates/core/src/routing/pool/pauses.rs
@@ -1,8 +1,9 @@
 //! Forecast of the pauses between the events of streams: how the choice of an engine affects the streams that run there
 //! and the new stream.
 //!
-//! A route may set a bound, the longest pause that its clients tolerate. A decode engine prefills prompts in chunks
-//! between decode steps, which delays every stream on it; on a slow engine each step itself takes longer.
+//! A route may set a bound (`max_event_gap`), the maximum time between two events that its clients tolerate. A decode
+//! engine prefills prompts in chunks between decode steps, which delays every stream on it; on a slow engine each step
+//! takes longer.
 //!
 //! ```text
 //! pause(e, t)          = work factor of e * (event interval + (t > 0: overhead + t * prefill seconds per token))
@@ -15,10 +16,10 @@
 //! ```
 //!
 //! `t` is the number of prompt tokens waiting for prefill at the engine, or its recent peak if that is larger. The peak
-//! decays within half a second. A stream outlasts a single prefill, so the recent peak tells it more than the current
-//! queue. As a result, prefill concentrates on few decode engines and new streams avoid these. `event interval` is the
-//! time between events without concurrent prefill. Only streams that have kept to their bound count, with the shortest
-//! bound among them.
+//! decays within half a second. A stream outlasts a single prefill, so the recent peak predicts its pauses better than
+//! the current queue. As a result, prefill concentrates on few decode engines and new streams avoid these. `event
+//! interval` is the time between events without concurrent prefill. Only streams that have kept to their bound count,
+//! with the shortest bound among them.
 //!
 //! The late probability rises steeply near the bound and is at most one, so a request is always placed: if every engine
 //! exceeds a bound, the prompt goes where it delays the fewest streams. A stream that has already exceeded its bound is
@@ -125,30 +126,32 @@
     /// time in seconds, and without it the weight is one.
     pub fn added_late_streams(
         &self,
-        work: &EngineLoad,
+        load: &EngineLoad,
         prompt_tokens: f64,
         min_prefill_wait: Option<f64>,
     ) -> f64 {
-        let Some(bound) = work.min_event_gap_limit.filter(|_| prompt_tokens > 0.0) else {
+        let Some(max_event_gap) = load.min_event_gap_limit.filter(|_| prompt_tokens > 0.0) else {
             return 0.0;
         };
-        let now = work.all_prompt_tokens();
-        let before = late_probability(self.pause(now), bound);
-        let after = late_probability(self.pause(now + prompt_tokens), bound);
-        let headroom = min_prefill_wait.map_or(1.0, |wait| 1.0 - late_probability(wait, bound));
-        work.streams * headroom * (after - before)
+        let now = load.all_prompt_tokens();
+        let before = late_probability(self.pause(now), max_event_gap);
+        let after = late_probability(self.pause(now + prompt_tokens), max_event_gap);
+        let headroom = min_prefill_wait.map_or(1.0, |wait| 1.0 - late_probability(wait, max_event_gap));
+        load.streams * headroom * (after - before)
     }
 
     /// Probability that a new stream exceeds its bound while `prompt_tokens` of other prompts are prefilled; zero
     /// without a bound.
-    pub fn own_late_probability(&self, prompt_tokens: f64, bound: Option<Duration>) -> f64 {
-        bound.map_or(0.0, |bound| late_probability(self.pause(prompt_tokens), bound))
+    pub fn own_late_probability(&self, prompt_tokens: f64, max_event_gap: Option<Duration>) -> f64 {
+        max_event_gap.map_or(0.0, |max_event_gap| {
+            late_probability(self.pause(prompt_tokens), max_event_gap)
+        })
     }
 }
 
 /// Probability that a stream exceeds its bound, given the expected pause in seconds.
-pub fn late_probability(pause: f64, bound: Duration) -> f64 {
-    let ratio = pause / bound.as_secs_f64().max(f64::MIN_POSITIVE);
+pub fn late_probability(pause: f64, max_event_gap: Duration) -> f64 {
+    let ratio = pause / max_event_gap.as_secs_f64().max(f64::MIN_POSITIVE);
     let power = ratio.powi(4);
     if power.is_finite() {
         power / (1.0 + power)
--- a/crates/core/tests/pauses_world/mod.rs
+++ b/crates/core/tests/pauses_world/mod.rs
@@ -7,7 +7,7 @@
 
 mod parts;
 
-pub use parts::{Setup, Streams};
+pub use parts::{Setup, StreamStats};
 
 use super::pool_support::{engine_with, pool, router_with};
 use parts::{Engine, Request};
@@ -53,16 +53,16 @@
     random: StdRng,
     now: u64,
     queue: BinaryHeap<Reverse<(u64, u64, Event)>>,
-    numbers: u64,
+    sequence: u64,
     routers: Vec<PoolRouter>,
-    names: Vec<EngineId>,
+    engine_ids: Vec<EngineId>,
     engines: Vec<Engine>,
     requests: Vec<Request>,
-    streams: Streams,
+    stats: StreamStats,
 }
 
 /// Runs a simulation until all its streams end.
-pub fn simulate(setup: Setup) -> Streams {
+pub fn simulate(setup: Setup) -> StreamStats {
     let mut world = World::new(setup);
     world.schedule(0, Event::Arrival);
     world.schedule(0, Event::ReportsDue);
@@ -71,7 +71,7 @@
         world.now = at;
         world.handle(event);
     }
-    world.streams
+    world.stats
 }
 
 impl World {
@@ -95,19 +95,19 @@
             random: StdRng::seed_from_u64(setup.seed),
             now: 0,
             queue: BinaryHeap::new(),
-            numbers: 0,
+            sequence: 0,
             routers: vec![router_with(setup.weights.clone(), 64, Some(1e-7), &listed); setup.nodes],
-            names: listed.iter().map(|engine| engine.id.clone()).collect(),
+            engine_ids: listed.iter().map(|engine| engine.id.clone()).collect(),
             engines,
             requests: Vec::new(),
-            streams: Streams::default(),
+            stats: StreamStats::default(),
             setup,
         }
     }
 
     fn schedule(&mut self, micros: u64, event: Event) {
-        self.numbers += 1;
-        self.queue.push(Reverse((micros, self.numbers, event)));
+        self.sequence += 1;
+        self.queue.push(Reverse((micros, self.sequence, event)));
     }
 
     fn time(&self) -> MonotonicTime {
@@ -156,8 +156,8 @@
 
     /// Current request rate per second.
     fn rate(&self) -> f64 {
-        let turn = self.now as f64 / 1e6 / RATE_PERIOD_SECONDS * std::f64::consts::TAU;
-        self.setup.requests_per_second * (1.0 + RATE_AMPLITUDE * turn.sin())
+        let phase = self.now as f64 / 1e6 / RATE_PERIOD_SECONDS * std::f64::consts::TAU;
+        self.setup.requests_per_second * (1.0 + RATE_AMPLITUDE * phase.sin())
     }
 
     /// Creates a request with one of three prompt sizes and schedules the next arrival.
@@ -200,7 +200,7 @@
     }
 
     fn index_of(&self, engine: &EngineId) -> usize {
-        self.names.iter().position(|name| name == engine).unwrap()
+        self.engine_ids.iter().position(|name| name == engine).unwrap()
     }
 
     /// Calls the router of a request with a query for it.
@@ -238,11 +238,11 @@
             PoolRoute::Whole(engine) => (engine.id, false),
             PoolRoute::Split { prefill, .. } => (prefill.id, true),
             PoolRoute::Nowhere => {
-                self.streams.not_placed += 1;
+                self.stats.not_placed += 1;
                 return;
             }
         };
-        self.streams.choices.push(engine.to_string());
+        self.stats.choices.push(engine.to_string());
         let ticket = self.with_query(request, |router, query, now| {
             if is_prompt {
                 router.on_prompt_sent(&engine, query, now)
@@ -316,7 +316,7 @@
         let ticket = self.with_query(request, |router, query, now| {
             router.on_output_sent(&engine, query, KvCacheSource::Transfer, now)
         });
-        self.streams.choices.push(engine.to_string());
+        self.stats.choices.push(engine.to_string());
         self.requests[request].ticket = Some(ticket);
         let index = self.index_of(&engine);
         self.schedule(self.now + HANDOFF_MICROS, Event::HandoffDone(request, index));
@@ -380,9 +380,9 @@
             self.with_query(number, |router, _, _| router.on_answered(&ticket));
         }
         let request = &self.requests[number];
-        self.streams.completed += 1;
-        self.streams.late_by_pause += u32::from(request.is_pause_late);
-        self.streams.late_by_first_event += u32::from(request.is_first_event_late);
-        self.streams.late_by_either += u32::from(request.is_pause_late || request.is_first_event_late);
+        self.stats.completed += 1;
+        self.stats.late_by_pause += u32::from(request.is_pause_late);
+        self.stats.late_by_first_event += u32::from(request.is_first_event_late);
+        self.stats.late_by_either += u32::from(request.is_pause_late || request.is_first_event_late);
     }
 }
--- a/crates/core/tests/pauses_world/parts.rs
+++ b/crates/core/tests/pauses_world/parts.rs
@@ -26,7 +26,7 @@
 
 /// Results of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Streams {
+pub struct StreamStats {
     pub completed: u32,
     pub late_by_pause: u32,
     pub late_by_first_event: u32,
@@ -36,7 +36,7 @@
     pub choices: Vec<String>,
 }
 
-impl Streams {
+impl StreamStats {
     pub fn share_late_by_pause(&self) -> f64 {
         f64::from(self.late_by_pause) / f64::from(self.completed.max(1))
     }
--- a/crates/core/tests/pool_pauses.rs
+++ b/crates/core/tests/pool_pauses.rs
@@ -5,7 +5,7 @@
 mod pauses_world;
 mod pool_support;
 
-use pauses_world::{Setup, Streams, simulate};
+use pauses_world::{Setup, StreamStats, simulate};
 use pool_support::{engine_with, pool, router_with};
 use shelfjunction_core::identity::{EngineId, NodeId, ZoneId};
 use shelfjunction_core::routing::pool::pauses::{
@@ -270,22 +270,22 @@
     }
 
     /// Runs each seed without and with the pause forecast.
-    fn run_without_and_with_forecast(change: impl Fn(Setup) -> Setup) -> [Vec<Streams>; 2] {
+    fn run_without_and_with_forecast(change: impl Fn(Setup) -> Setup) -> [Vec<StreamStats>; 2] {
         [PoolWeights::default(), weights_with_forecast()].map(|weights| {
             let run = |seed| simulate(change(setup(weights.clone(), Some(BOUND), seed)));
             SEEDS.map(run).collect()
         })
     }
 
-    fn mean(streams: &[Streams], share: impl Fn(&Streams) -> f64) -> f64 {
+    fn mean(streams: &[StreamStats], share: impl Fn(&StreamStats) -> f64) -> f64 {
         streams.iter().map(share).sum::<f64>() / streams.len() as f64
     }
 
-    fn shares(streams: &[Streams]) -> [f64; 3] {
+    fn shares(streams: &[StreamStats]) -> [f64; 3] {
         [
-            mean(streams, Streams::share_late_by_pause),
-            mean(streams, Streams::share_late_by_first_event),
-            mean(streams, Streams::share_late),
+            mean(streams, StreamStats::share_late_by_pause),
+            mean(streams, StreamStats::share_late_by_first_event),
+            mean(streams, StreamStats::share_late),
         ]
     }
 
--- a/crates/core/tests/rate_limit_belief.rs
+++ b/crates/core/tests/rate_limit_belief.rs
@@ -90,7 +90,7 @@
 fn a_wait_for_a_slot_is_not_believed_for_long_nor_under_another_limit() {
     let mut belief = LimitEstimate::default();
     belief.on_notice(RateLimit::new(0.1), at(100));
-    belief.note_slot(Duration::MAX, at(200));
+    belief.record_slot_wait(Duration::MAX, at(200));
     assert_eq!(belief.slot_wait(at(200)), Duration::from_secs(5));
     belief.on_notice(RateLimit::new(4.0), at(300));
     assert_eq!(belief.slot_wait(at(300)), Duration::ZERO);
--- a/crates/core/tests/rate_limit_choice.rs
+++ b/crates/core/tests/rate_limit_choice.rs
@@ -56,13 +56,13 @@
 
 fn name_limit(router: &mut PoolRouter, engine: &str, rate: f64) {
     let said = ResponseLimit::Valid(RateLimit::new(rate).unwrap());
-    let change = router.on_answered_limit(&EngineId::new(engine), &said, NOW, NOW);
+    let change = router.on_response_limit(&EngineId::new(engine), &said, NOW, NOW);
     assert_eq!(change, LimitChange::Changed);
 }
 
 fn no_slot_for(router: &mut PoolRouter, engine: &str, millis: u64) {
     let engine = SubjectHandle::of_engine(&EngineId::new(engine));
-    router.note_slot(engine, Duration::from_millis(millis), NOW);
+    router.record_slot_wait(engine, Duration::from_millis(millis), NOW);
 }
 
 fn chosen(route: PoolRoute) -> Option<String> {
--- a/crates/core/tests/rate_limit_slots.rs
+++ b/crates/core/tests/rate_limit_slots.rs
@@ -158,7 +158,7 @@
         let keeps = self.keeper_seen_by(owner, asked_at) == owner;
         if !self.reaches(from, owner, millis) || !keeps {
             let silent = Duration::from_millis(500);
-            self.nodes[from].belief.note_slot(silent, at(millis));
+            self.nodes[from].belief.record_slot_wait(silent, at(millis));
             return None;
         }
         let heard = (0..self.nodes.len()).filter(|other| self.hears(owner, *other, asked_at));
@@ -174,7 +174,7 @@
                 Some(asked_at + wait.as_millis() as u64 + way)
             }
             Slot::NotInTime(wait) => {
-                self.nodes[from].belief.note_slot(wait, at(asked_at));
+                self.nodes[from].belief.record_slot_wait(wait, at(asked_at));
                 None
             }
         }
--- a/crates/node/src/course/admitting.rs
+++ b/crates/node/src/course/admitting.rs
@@ -193,7 +193,7 @@
         Self {
             admission: decision.admission,
             expected: decision.expected,
-            error: decision.error,
+            error: decision.error_factor,
             turned_away: decision.late_or_refused_share,
             standing: decision.standing,
         }
--- a/crates/node/src/rate_limits/asking.rs
+++ b/crates/node/src/rate_limits/asking.rs
@@ -81,7 +81,7 @@
         Some(SlotOutcome::NotOwner { .. }) | None => Slot::NotInTime(SILENT_KEEPER),
     };
     if let Slot::NotInTime(wait) = taken {
-        lock(&context.router).note_slot(notice.engine, wait, context.now());
+        lock(&context.router).record_slot_wait(notice.engine, wait, context.now());
     }
     Some((limit, taken))
 }
@@ -150,7 +150,7 @@
         },
         Slot::NotInTime(wait) => {
             // Others learn from this node's notices that they need not ask.
-            lock(&context.router).note_slot(engine, wait, now);
+            lock(&context.router).record_slot_wait(engine, wait, now);
             SlotOutcome::Denied {
                 wait_millis: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
             }
--- a/crates/node/src/rate_limits/mod.rs
+++ b/crates/node/src/rate_limits/mod.rs
@@ -56,7 +56,7 @@
 ) {
     let (change, limit) = {
         let mut router = lock(&context.router);
-        let change = router.on_answered_limit(engine, said, sent_at, now);
+        let change = router.on_response_limit(engine, said, sent_at, now);
         (change, router.engine(engine).and_then(EngineState::rate_limit))
     };
     match (change, said) {
