--- a/crates/core/src/placing/config.rs
+++ b/crates/core/src/placing/config.rs
@@ -1,19 +1,19 @@
-//! Settings of the placing.
+//! Settings of request placement by placers.
 
 use crate::setting::FieldError;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Settings of the placing.
+/// Settings of request placement, from the section `placing`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlacingSettings {
-    /// Nodes that choose engines for all in a large fleet. Each tells every other of its work, and looks at every
-    /// engine once for each request that it places.
+    /// Number of nodes that choose engines for the whole of a large fleet. Each of them reports its work to all others and
+    /// evaluates every engine for each request that it places.
     pub placers: usize,
-    /// Largest fleet in which each node chooses for its own requests: all hear of each other's work in time.
+    /// Maximum number of nodes in a fleet where each node chooses engines for its own requests.
     pub alone_up_to: usize,
-    /// Longest wait for a placer's answer, in milliseconds; a round trip takes 1 to 4.
+    /// Timeout for a placer's answer, in milliseconds.
     pub answer_wait_millis: u64,
 }
 
@@ -28,25 +28,25 @@
 }
 
 impl PlacingSettings {
-    /// Every wrong setting.
+    /// All invalid settings, with their allowed ranges; empty if there are none.
     pub fn validate(&self) -> Vec<FieldError> {
-        let least = [
+        let minimums = [
             ("placing.placers", self.placers as u64, 1),
             ("placing.alone_up_to", self.alone_up_to as u64, 1),
             ("placing.answer_wait_millis", self.answer_wait_millis, 1),
         ];
-        least
+        minimums
             .into_iter()
-            .filter(|(_, value, least)| value < least)
-            .map(|(field, value, least)| FieldError {
+            .filter(|(_, value, min)| value < min)
+            .map(|(field, value, min)| FieldError {
                 field: field.to_owned(),
                 value: value.to_string(),
-                allowed: format!("{least} or more"),
+                allowed: format!("{min} or more"),
             })
             .collect()
     }
 
-    /// Longest wait for a placer's answer.
+    /// Timeout for a placer's answer.
     pub fn answer_wait(&self) -> Duration {
         Duration::from_millis(self.answer_wait_millis)
     }
--- a/crates/core/src/placing/mod.rs
+++ b/crates/core/src/placing/mod.rs
@@ -1,17 +1,17 @@
-//! Which node of a large fleet chooses the engines of a request.
+//! Request placement: which node chooses the engines of a request.
 //!
-//! In a small fleet each node hears of all work within milliseconds and chooses by itself. In a large one it would know
-//! next to nothing: it sees few requests of its own, and messages from everybody to everybody grow with the square of
-//! the nodes. There a few nodes, the placers, choose for all. [`placer_set::PlacerSet`] names them from the nodes that
-//! are heard, without a message; the shared part of a prompt names the placer of a request, so that everything about
-//! one part passes one node. [`placement_table::PlacementTable`] is what a placer keeps of the requests that it has
-//! placed.
+//! In a small fleet all nodes report their work to each other and every node chooses engines for its own requests. In a
+//! large fleet the number of such reports would grow with the square of the number of nodes, so a few nodes, the placers,
+//! choose engines for all requests. Every node computes the [`placer_set::PlacerSet`] from the nodes that it knows to be
+//! alive, without any messages. The shared prefix of a prompt decides which placer is asked, so requests with the same
+//! prefix are placed by the same node. A placer records the requests that it has placed in a
+//! [`placement_table::PlacementTable`].
 //!
-//! Two nodes that take different ones for placers, or a placer that has just started, cost precision and break no
-//! promise: an engine takes requests from any node, and a node that gets no answer chooses by itself.
+//! If nodes disagree on the placers, or a placer has just started, estimates of engine load are less precise, but requests
+//! are still served: engines accept requests from any node, and a node without an answer chooses engines itself.
 
 pub mod config;
 pub mod placement_table;
 pub mod placer_set;
-mod promise;
+mod prediction;
 pub mod question;
--- a/crates/core/src/placing/placement_table.rs
+++ b/crates/core/src/placing/placement_table.rs
@@ -1,11 +1,10 @@
-//! What a placer keeps of the requests that it has placed.
+//! State that a placer keeps for the requests that it has placed.
 //!
-//! Each answer counts the dispatch that it names in the [`PoolRouter`] at once, and the node that asked tells how the
-//! dispatch went on. Datagrams may be lost, late or doubled: a doubled question gets the same answer again, a new
-//! question about a request ends what was counted for it before, and what nobody speaks of any more is forgotten when
-//! the request's time is over.
+//! When a placer answers a query, it records the chosen dispatch in the [`PoolRouter`]; the node that sent the query then
+//! reports the progress of the dispatch. Datagrams may be lost, delayed or duplicated: a duplicate query gets the same
+//! answer, a new query for a request ends its previous dispatch, and requests without further reports expire.
 
-use super::promise::Promise;
+use super::prediction::LatencyPrediction;
 use super::question::{
     AdmissionVerdict, ChosenEngine, DispatchProgress, Placement, PlacementAnswer, PlacementKind,
     PlacementQuery, ProgressReport, RequestKey, RequestSummary,
@@ -22,192 +21,198 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time after a request's end for which it is kept, for a report that is late.
-const KEPT_AFTER_END: Duration = Duration::from_millis(500);
+/// Time for which a request is kept after its deadline, so that late reports are still accepted.
+const LATE_REPORT_GRACE: Duration = Duration::from_millis(500);
 
-/// Most requests that are kept; about ten seconds of the busiest placer of the target size.
-const MOST_KEPT: usize = 20_000;
+/// Maximum number of requests in the table; further queries get no answer.
+const MAX_PLACED_REQUESTS: usize = 20_000;
 
-/// Time between two looks for requests whose time is over.
-const SWEEP_EVERY: Duration = Duration::from_millis(500);
+/// Interval between removals of expired requests.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Part of a pause that one unit of a report stands for.
+/// Fraction of the longest harmless pause that one unit in a report represents.
 const PAUSE_UNIT: f64 = 0.01;
 
-/// What is counted for a request now.
+/// Dispatch of a request that is currently recorded in the router.
 #[derive(Clone, Debug)]
-enum Counted {
-    Prompt(PoolTicket),
-    Output(PoolTicket),
-    Nothing,
+enum ActiveDispatch {
+    Prefill(PoolTicket),
+    Decode(PoolTicket),
+    Inactive,
 }
 
 #[derive(Clone, Debug)]
-struct Kept {
+struct PlacedRequest {
     request: RequestSummary,
     prefixes: Vec<PrefixBlock>,
-    counted: Counted,
-    promise: Option<Promise>,
-    /// What its tenant was charged, as long as nobody has shown that the answer was followed.
+    dispatch: ActiveDispatch,
+    prediction: Option<LatencyPrediction>,
+    /// Budget charge of the tenant, until a report shows that the request runs as placed.
     charge: Option<Charge>,
     last_answer: PlacementAnswer,
-    until: MonotonicTime,
+    expires_at: MonotonicTime,
 }
 
-/// The requests that a placer has placed; holds no socket, thread or clock.
+/// Requests that a placer has placed. Does no I/O and reads no clock.
 #[derive(Clone, Debug, Default)]
 pub struct PlacementTable {
-    kept: BTreeMap<RequestKey, Kept>,
+    requests: BTreeMap<RequestKey, PlacedRequest>,
     swept_at: MonotonicTime,
 }
 
 impl PlacementTable {
-    /// Answers a question and counts the dispatch that the answer names; no answer where too many requests are kept.
+    /// Answers a query and records the chosen dispatch. Returns `None` if the table is full or the query is older than the last
+    /// one for the request.
     pub fn answer(
         &mut self,
         router: &mut PoolRouter,
-        question: &PlacementQuery,
+        query: &PlacementQuery,
         settings: &PoolAdmission,
         now: MonotonicTime,
     ) -> Option<PlacementAnswer> {
         self.sweep(router, now);
-        let before = self.kept.remove(&question.key);
-        if let Some(before) = before {
-            if before.last_answer.step >= question.step {
-                let answer = before.last_answer;
-                self.kept.insert(question.key, before);
-                return (answer.step == question.step).then_some(answer);
+        let previous = self.requests.remove(&query.key);
+        if let Some(previous) = previous {
+            if previous.last_answer.step >= query.step {
+                let answer = previous.last_answer;
+                self.requests.insert(query.key, previous);
+                return (answer.step == query.step).then_some(answer);
             }
-            return Some(self.answer_next(router, before, question, settings, now));
+            return Some(self.answer_next(router, previous, query, settings, now));
         }
-        if self.kept.len() >= MOST_KEPT {
+        if self.requests.len() >= MAX_PLACED_REQUESTS {
             return None;
         }
-        let fresh = Kept {
-            request: question.request.clone(),
-            prefixes: question.request.prompt.prefixes(),
-            counted: Counted::Nothing,
-            promise: None,
+        let placed = PlacedRequest {
+            request: query.request.clone(),
+            prefixes: query.request.prompt.prefixes(),
+            dispatch: ActiveDispatch::Inactive,
+            prediction: None,
             charge: None,
             last_answer: PlacementAnswer {
-                key: question.key,
+                key: query.key,
                 step: 0,
                 verdict: None,
                 placement: Placement::Nowhere,
             },
-            until: now,
+            expires_at: now,
         };
-        Some(self.answer_next(router, fresh, question, settings, now))
+        Some(self.answer_next(router, placed, query, settings, now))
     }
 
     fn answer_next(
         &mut self,
         router: &mut PoolRouter,
-        mut kept: Kept,
-        question: &PlacementQuery,
+        mut placed: PlacedRequest,
+        query: &PlacementQuery,
         settings: &PoolAdmission,
         now: MonotonicTime,
     ) -> PlacementAnswer {
-        kept.request = question.request.clone();
-        kept.until = now + question.request.remaining + KEPT_AFTER_END;
-        kept.close(router, &question.kind, now);
-        let (verdict, placement) = match &question.kind {
+        placed.request = query.request.clone();
+        placed.expires_at = now + query.request.remaining + LATE_REPORT_GRACE;
+        placed.close(router, &query.kind, now);
+        let (verdict, placement) = match &query.kind {
             PlacementKind::Admission(timing) => {
-                let (verdict, placement) = kept.admit(router, question.key, *timing, settings, now);
+                let (verdict, placement) = placed.admit(router, query.key, *timing, settings, now);
                 (Some(verdict), placement)
             }
-            PlacementKind::Retry { excluded } => (None, kept.choose(router, question.key, excluded, now)),
+            PlacementKind::Retry { excluded } => (None, placed.choose(router, query.key, excluded, now)),
             PlacementKind::Decode { source, excluded, .. } => {
-                let placement = kept.choose_output(router, question.key, *source, excluded, now);
+                let placement = placed.choose_decode(router, query.key, *source, excluded, now);
                 (None, placement)
             }
         };
-        kept.last_answer = PlacementAnswer {
-            key: question.key,
-            step: question.step,
+        placed.last_answer = PlacementAnswer {
+            key: query.key,
+            step: query.step,
             verdict,
             placement,
         };
-        let answer = kept.last_answer;
-        self.kept.insert(question.key, kept);
+        let answer = placed.last_answer;
+        self.requests.insert(query.key, placed);
         answer
     }
 
-    /// Takes what became of a dispatch; reports about anything else than the last answer are passed over.
+    /// Processes a progress report; reports that don't refer to the last answer for the request are ignored.
     pub fn on_progress(&mut self, router: &mut PoolRouter, report: &ProgressReport, now: MonotonicTime) {
-        let Some(kept) = self.kept.get_mut(&report.key) else {
+        let Some(placed) = self.requests.get_mut(&report.key) else {
             return;
         };
-        if kept.last_answer.step != report.step {
+        if placed.last_answer.step != report.step {
             return;
         }
-        let ended = kept.on_progress(router, &report.progress, now);
+        let ended = placed.on_progress(router, &report.progress, now);
         if ended {
-            self.kept.remove(&report.key);
+            self.requests.remove(&report.key);
         }
     }
 
-    /// The engine at which a request is counted now.
+    /// Engine of a request's current dispatch; `None` if there is no dispatch.
     pub fn engine_of(&self, key: &RequestKey) -> Option<&EngineId> {
-        match &self.kept.get(key)?.counted {
-            Counted::Prompt(ticket) | Counted::Output(ticket) => Some(ticket.engine()),
-            Counted::Nothing => None,
+        match &self.requests.get(key)?.dispatch {
+            ActiveDispatch::Prefill(ticket) | ActiveDispatch::Decode(ticket) => Some(ticket.engine()),
+            ActiveDispatch::Inactive => None,
         }
     }
 
-    /// Requests that are kept.
+    /// Number of requests in the table.
     pub fn len(&self) -> usize {
-        self.kept.len()
+        self.requests.len()
     }
 
-    /// Whether none is kept.
+    /// Whether the table holds no requests.
     pub fn is_empty(&self) -> bool {
-        self.kept.is_empty()
+        self.requests.is_empty()
     }
 
-    /// Forgets requests whose time is over.
+    /// Removes expired requests, at most once per sweep interval.
     pub fn sweep(&mut self, router: &mut PoolRouter, now: MonotonicTime) {
-        if now.since(self.swept_at) < SWEEP_EVERY {
+        if now.since(self.swept_at) < SWEEP_INTERVAL {
             return;
         }
         self.swept_at = now;
-        self.kept.retain(|_, kept| {
-            let stays = kept.until > now;
-            if !stays {
-                kept.abandon(router, now);
+        self.requests.retain(|_, placed| {
+            let is_current = placed.expires_at > now;
+            if !is_current {
+                placed.abandon(router, now);
             }
-            stays
+            is_current
         });
     }
 }
 
-impl Kept {
-    /// Ends what was counted before a further question, which says how that went.
+impl PlacedRequest {
+    /// Ends the current dispatch before a new query for the request is answered.
     fn close(&mut self, router: &mut PoolRouter, kind: &PlacementKind, now: MonotonicTime) {
-        match (std::mem::replace(&mut self.counted, Counted::Nothing), kind) {
-            (Counted::Prompt(ticket), PlacementKind::Decode { reported_load, .. }) => {
+        match (
+            std::mem::replace(&mut self.dispatch, ActiveDispatch::Inactive),
+            kind,
+        ) {
+            (ActiveDispatch::Prefill(ticket), PlacementKind::Decode { reported_load, .. }) => {
                 self.charge = None;
                 if let Some(reported_load) = reported_load {
                     router.on_told(ticket.engine(), *reported_load, now);
                 }
                 router.on_prompt_prefilled(&ticket, &self.prefixes, now);
             }
-            (Counted::Prompt(ticket) | Counted::Output(ticket), _) => router.on_abandoned(&ticket),
-            (Counted::Nothing, _) => {}
+            (ActiveDispatch::Prefill(ticket) | ActiveDispatch::Decode(ticket), _) => {
+                router.on_abandoned(&ticket)
+            }
+            (ActiveDispatch::Inactive, _) => {}
         }
     }
 
     fn abandon(&mut self, router: &mut PoolRouter, now: MonotonicTime) {
-        self.take_back_charge(router, now);
-        if let Counted::Prompt(ticket) | Counted::Output(ticket) =
-            std::mem::replace(&mut self.counted, Counted::Nothing)
+        self.refund_charge(router, now);
+        if let ActiveDispatch::Prefill(ticket) | ActiveDispatch::Decode(ticket) =
+            std::mem::replace(&mut self.dispatch, ActiveDispatch::Inactive)
         {
             router.on_abandoned(&ticket);
         }
     }
 
-    /// Takes back what an answer that nobody followed has charged: the node has asked another placer, or its caller left.
-    fn take_back_charge(&mut self, router: &mut PoolRouter, now: MonotonicTime) {
+    /// Refunds the charge of an answer that was not used because the node asked another placer or the caller disconnected.
+    fn refund_charge(&mut self, router: &mut PoolRouter, now: MonotonicTime) {
         if let Some(charge) = self.charge.take() {
             router.sharing_mut().take_back(&self.request.pool, charge, now);
         }
@@ -221,18 +226,18 @@
         settings: &PoolAdmission,
         now: MonotonicTime,
     ) -> (AdmissionVerdict, Placement) {
-        let decision = router.admit_or_grow(&self.query(key, &[]), timing, settings, now);
+        let decision = router.admit_or_grow(&self.pool_query(key, &[]), timing, settings, now);
         if !decision.expected.is_zero() {
-            self.take_back_charge(router, now);
-            let query = self.query(key, &[]);
+            self.refund_charge(router, now);
+            let query = self.pool_query(key, &[]);
             self.charge = router.on_admission(&query, &decision, timing, settings, now);
         }
-        let in_time = decision.admission == Admission::InTime && !decision.expected.is_zero();
-        self.promise = in_time.then_some(Promise {
+        let admitted_in_time = decision.admission == Admission::InTime && !decision.expected.is_zero();
+        self.prediction = admitted_in_time.then_some(LatencyPrediction {
             made_at: now,
             expected: decision.expected,
             target: timing.target,
-            kinds_window: settings.sharing.kinds.then(|| settings.sharing.window()),
+            outcome_window: settings.sharing.kinds.then(|| settings.sharing.window()),
         });
         if decision.admission == Admission::Late {
             self.request.rank = LATE_RANK as u8;
@@ -241,7 +246,7 @@
             admission: decision.admission,
             expected: decision.expected,
             error: decision.error as f32,
-            turned_away: decision.late_or_refused_share as f32,
+            late_or_refused_share: decision.late_or_refused_share as f32,
             standing: decision.standing,
         };
         (verdict, self.place(router, key, decision.route, now))
@@ -255,7 +260,7 @@
         now: MonotonicTime,
     ) -> Placement {
         let excluded = router.engines_of(excluded);
-        let route = router.choose_or_grow(&self.query(key, &excluded), now);
+        let route = router.choose_or_grow(&self.pool_query(key, &excluded), now);
         self.place(router, key, route, now)
     }
 
@@ -269,17 +274,21 @@
         match route {
             PoolRoute::Whole(engine) => {
                 let chosen = self.chosen(router, key, &engine, now);
-                let ticket =
-                    router.on_output_sent(&engine.id, &self.query(key, &[]), KvCacheSource::Prefill, now);
-                self.counted = Counted::Output(ticket);
+                let ticket = router.on_output_sent(
+                    &engine.id,
+                    &self.pool_query(key, &[]),
+                    KvCacheSource::Prefill,
+                    now,
+                );
+                self.dispatch = ActiveDispatch::Decode(ticket);
                 Placement::One(chosen)
             }
             PoolRoute::Split { prefill, decode } => {
                 let chosen = self.chosen(router, key, &prefill, now);
-                let query = self.query(key, &[]);
+                let query = self.pool_query(key, &[]);
                 let expected = router.reading_delay(&prefill.id, &query, now).unwrap_or_default();
                 let ticket = router.on_prompt_sent(&prefill.id, &query, now);
-                self.counted = Counted::Prompt(ticket);
+                self.dispatch = ActiveDispatch::Prefill(ticket);
                 Placement::Split {
                     prefill: chosen,
                     decode: router.handle_of(&decode.id),
@@ -290,7 +299,7 @@
         }
     }
 
-    fn choose_output(
+    fn choose_decode(
         &mut self,
         router: &mut PoolRouter,
         key: RequestKey,
@@ -299,21 +308,27 @@
         now: MonotonicTime,
     ) -> Placement {
         let excluded = router.engines_of(excluded);
-        // The node that asks may have had the prompt read by an engine that another placer chose.
+        // Another placer may have chosen the engine that ran prefill.
         let Some(source) = router.bring_into_use(source) else {
             return Placement::Nowhere;
         };
-        let Some(engine) = router.choose_output_or_grow(&self.query(key, &excluded), &source, now) else {
+        let Some(engine) = router.choose_output_or_grow(&self.pool_query(key, &excluded), &source, now)
+        else {
             return Placement::Nowhere;
         };
         let mut chosen = self.chosen(router, key, &engine, now);
         chosen.fetch_from = None;
-        let ticket = router.on_output_sent(&engine.id, &self.query(key, &[]), KvCacheSource::Transfer, now);
-        self.counted = Counted::Output(ticket);
+        let ticket = router.on_output_sent(
+            &engine.id,
+            &self.pool_query(key, &[]),
+            KvCacheSource::Transfer,
+            now,
+        );
+        self.dispatch = ActiveDispatch::Decode(ticket);
         Placement::One(chosen)
     }
 
-    /// What speaks for an engine before the request is counted there.
+    /// Describes the load and cache state of an engine before the dispatch to it is recorded.
     fn chosen(
         &self,
         router: &PoolRouter,
@@ -321,7 +336,7 @@
         engine: &PoolEngine,
         now: MonotonicTime,
     ) -> ChosenEngine {
-        let query = self.query(key, &[]);
+        let query = self.pool_query(key, &[]);
         let beliefs = router.beliefs(&engine.id, &query, now);
         ChosenEngine {
             engine: router.handle_of(&engine.id),
@@ -335,19 +350,19 @@
         }
     }
 
-    /// How long the request waits at an engine that names a rate limit. The node that asks takes the slot, and knows better
-    /// what it has put into the request.
+    /// Maximum wait for a slot at a rate-limited engine. Assumes a first attempt, because only the node that sent the query
+    /// knows about earlier ones; that node also requests the slot.
     fn slot_max_wait(&self) -> Duration {
-        let waiting = WaitFactors {
+        let factors = WaitFactors {
             rank: usize::from(self.request.rank),
             remaining: self.request.remaining,
             is_retry_or_prefilled: false,
             overuse_factor: 1.0,
         };
-        waiting.max_wait()
+        factors.max_wait()
     }
 
-    fn query<'q>(&'q self, key: RequestKey, excluded: &'q [EngineId]) -> PoolQuery<'q> {
+    fn pool_query<'q>(&'q self, key: RequestKey, excluded: &'q [EngineId]) -> PoolQuery<'q> {
         PoolQuery {
             from_this_node: false,
             pool: &self.request.pool,
@@ -364,16 +379,16 @@
         }
     }
 
-    /// Takes what became of the dispatch; true where nothing is counted any more.
+    /// Processes the progress of the current dispatch. Returns whether the request can be removed from the table.
     fn on_progress(
         &mut self,
         router: &mut PoolRouter,
         progress: &DispatchProgress,
         now: MonotonicTime,
     ) -> bool {
-        let ticket = match &self.counted {
-            Counted::Prompt(ticket) | Counted::Output(ticket) => ticket.clone(),
-            Counted::Nothing => return true,
+        let ticket = match &self.dispatch {
+            ActiveDispatch::Prefill(ticket) | ActiveDispatch::Decode(ticket) => ticket.clone(),
+            ActiveDispatch::Inactive => return true,
         };
         match progress {
             DispatchProgress::Started { reported_load } => {
@@ -382,9 +397,9 @@
                     router.on_told(ticket.engine(), *reported_load, now);
                 }
                 router.on_output_started(&ticket, &self.prefixes, now);
-                if let Some(promise) = self.promise.take() {
+                if let Some(prediction) = self.prediction.take() {
                     let key = self.last_answer.key;
-                    promise.judge(router, &self.query(key, &[]), now);
+                    prediction.record_outcome(router, &self.pool_query(key, &[]), now);
                 }
                 return false;
             }
@@ -411,12 +426,12 @@
             DispatchProgress::ConnectionFailed => router.on_broken(&ticket, now),
             DispatchProgress::Unresponsive => router.on_silence(&ticket, now),
             DispatchProgress::Abandoned => {
-                self.take_back_charge(router, now);
+                self.refund_charge(router, now);
                 router.on_abandoned(&ticket);
             }
         }
-        self.counted = Counted::Nothing;
-        // Whoever was refused or let down asks again: the last answer must not be given for a new question.
+        self.dispatch = ActiveDispatch::Inactive;
+        // After a failure the node sends a new query, and a duplicate of the last one must still be recognised.
         matches!(
             progress,
             DispatchProgress::Answered { .. } | DispatchProgress::Abandoned
--- a/crates/core/src/placing/placer_set.rs
+++ b/crates/core/src/placing/placer_set.rs
@@ -1,96 +1,96 @@
-//! Who the placers are, as one node sees it.
+//! Selection of the placers from the nodes that one node knows.
 
 use crate::membership::rendezvous;
 use crate::membership::subject::{SubjectHandle, mix};
 use std::time::Duration;
 
-/// What the placers are chosen for.
-const TASK: &str = "placing";
+/// Input of the rendezvous hash that ranks candidates.
+const HASH_INPUT: &str = "placing";
 
 /// A node that may place requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// The node.
+    /// Handle of the node.
     pub node: SubjectHandle,
-    /// Thousandths of a processor core that it may use; nodes with more come first.
+    /// Thousandths of a processor core that the node may use; nodes with more rank higher.
     pub processor_thousandths: u32,
 }
 
 impl Candidate {
-    /// Where the node ranks; the greatest comes first.
+    /// Sort key; the greatest ranks first.
     fn rank(&self) -> (u32, u64, SubjectHandle) {
-        let weight = rendezvous::weight(SubjectHandle::of_text("task", TASK), self.node);
+        let weight = rendezvous::weight(SubjectHandle::of_text("task", HASH_INPUT), self.node);
         (self.processor_thousandths, weight, self.node)
     }
 }
 
-/// What is known of another node that may place requests.
+/// What a node knows about another candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CandidateStatus {
-    /// It said a short time ago that it places.
+    /// It has recently reported that it places requests.
     Active,
-    /// It is listed, and nothing speaks against it.
+    /// It is in the list of nodes and is not known to be unresponsive.
     Listed,
-    /// It placed and has fallen silent.
+    /// It placed requests and no longer sends reports.
     Unresponsive,
 }
 
-/// Time that each node which comes before gets to take a vacant place and to be heard: it looks several times a second and
-/// tells everybody at once.
-const TURN: Duration = Duration::from_millis(400);
+/// Time that each higher-ranking candidate has to fill a vacancy and report it. Nodes check for vacancies several times a
+/// second.
+const TAKEOVER_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Nodes that come first for places, as a multiple of the places: they know every other node, so that they can tell whose
-/// turn it is. The others leave the places to them.
-const IN_LINE: usize = 3;
+/// Number of candidates that may become placers, as a multiple of the number of placers. They know the whole list of nodes
+/// and hence their own rank in it; other nodes leave vacancies to them.
+const CANDIDATES_PER_PLACE: usize = 3;
 
-/// Placers that tell a node often; two, so that the loss of one goes unnoticed until another takes its place.
-const NEAR_PLACERS: usize = 2;
+/// Number of placers that send frequent updates to a node. With two, the loss of one has no effect until it is replaced.
+const PRIMARY_CONTACTS: usize = 2;
 
-/// Whether a node that has read only some of the list is one of those that have to know all of it: it may be among the
-/// first `places` or take over from them. Whoever is among the first of all is among the first of any part.
-pub fn may_become_placer(own: Candidate, some: &[Candidate], places: usize) -> bool {
+/// Whether a node that has read only the part `known` of the list must read all of it, because it may rank among the first
+/// `places` candidates or replace one of them. A node that ranks first in the whole list also does so in any part of it.
+pub fn may_become_placer(own: Candidate, known: &[Candidate], places: usize) -> bool {
     let own = own.rank();
-    let before = some.iter().filter(|other| other.rank() > own).count();
-    before < places * IN_LINE
+    let before = known.iter().filter(|other| other.rank() > own).count();
+    before < places * CANDIDATES_PER_PLACE
 }
 
-/// Whether a node that knows all others places requests itself.
+/// Whether a node that knows all other candidates should place requests.
 ///
-/// It does where it ranks among the first of those that place. A place that is vacant goes to the node that comes next,
-/// and only after a turn for each to the ones behind it: were the loss of one a reason for all to step in, each of n nodes
-/// would tell all others so, n squared messages at once.
+/// It should if fewer than `places` active placers rank above it and there is either no vacancy or it is next in rank. A
+/// lower-ranking node fills a vacancy only after one takeover interval for each candidate before it. Otherwise all n nodes
+/// would react to the loss of one placer and send n squared messages.
 pub fn should_place(
     own: Candidate,
     others: impl Iterator<Item = (Candidate, CandidateStatus)>,
     places: usize,
-    vacant_for: Duration,
+    vacancy_age: Duration,
 ) -> bool {
     let own = own.rank();
-    let (mut placing, mut placing_before, mut waiting_before) = (0, 0, 0);
-    for (other, presence) in others {
-        let comes_before = usize::from(other.rank() > own);
-        match presence {
+    let (mut active, mut active_before, mut listed_before) = (0, 0, 0);
+    for (other, status) in others {
+        let ranks_before = usize::from(other.rank() > own);
+        match status {
             CandidateStatus::Active => {
-                placing += 1;
-                placing_before += comes_before;
+                active += 1;
+                active_before += ranks_before;
             }
-            CandidateStatus::Listed => waiting_before += comes_before,
+            CandidateStatus::Listed => listed_before += ranks_before,
             CandidateStatus::Unresponsive => {}
         }
     }
-    let vacant = places.saturating_sub(placing);
-    let turns = (vacant_for.as_millis() / TURN.as_millis()) as usize;
-    placing_before < places && (vacant == 0 || waiting_before < vacant + turns)
+    let vacant = places.saturating_sub(active);
+    let elapsed_intervals = (vacancy_age.as_millis() / TAKEOVER_INTERVAL.as_millis()) as usize;
+    active_before < places && (vacant == 0 || listed_before < vacant + elapsed_intervals)
 }
 
-/// The placers, in no order that matters.
+/// The nodes that place requests. Their order has no meaning.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PlacerSet {
     placers: Vec<SubjectHandle>,
 }
 
 impl PlacerSet {
-    /// The `count` first of the candidates that are alive: by processor, then by rendezvous hashing.
+    /// Selects the `count` highest-ranking live candidates: by processor capacity, then by rendezvous hashing.
     pub fn select(alive: &[Candidate], count: usize) -> Self {
         let mut ranked: Vec<_> = alive.iter().map(Candidate::rank).collect();
         ranked.sort_unstable_by(|left, right| right.cmp(left));
@@ -100,40 +100,41 @@
         }
     }
 
-    /// The placers.
+    /// Handles of the placers, in no particular order.
     pub fn placers(&self) -> &[SubjectHandle] {
         &self.placers
     }
 
-    /// The nodes that come first for so many places, and those that take over from them.
+    /// Selects the candidates for `places` placers and their standbys.
     pub fn with_standbys(alive: &[Candidate], places: usize) -> Self {
-        Self::select(alive, places * IN_LINE)
+        Self::select(alive, places * CANDIDATES_PER_PLACE)
     }
 
-    /// Whether a placer is one of the few that tell a node often.
+    /// Whether `placer` sends frequent updates to `node`.
     pub fn is_primary_contact(&self, placer: SubjectHandle, node: SubjectHandle) -> bool {
-        let near = self.placers_for(mix(node.number()), |_| false, NEAR_PLACERS);
-        near.contains(&placer)
+        let contacts = self.placers_for(mix(node.number()), |_| false, PRIMARY_CONTACTS);
+        contacts.contains(&placer)
     }
 
-    /// Whether a node is one of them.
+    /// Whether a node is in the set.
     pub fn includes(&self, node: SubjectHandle) -> bool {
         self.placers.contains(&node)
     }
 
-    /// The placers of what a number names, first choice first; without those that `passed_over` names.
+    /// Up to `count` placers responsible for a subject, first choice first, without those for which `is_excluded` returns
+    /// true.
     pub fn placers_for(
         &self,
         subject: u64,
-        passed_over: impl Fn(SubjectHandle) -> bool,
+        is_excluded: impl Fn(SubjectHandle) -> bool,
         count: usize,
     ) -> Vec<SubjectHandle> {
-        let left: Vec<SubjectHandle> = self
+        let remaining: Vec<SubjectHandle> = self
             .placers
             .iter()
             .copied()
-            .filter(|placer| !passed_over(*placer))
+            .filter(|placer| !is_excluded(*placer))
             .collect();
-        rendezvous::choose(SubjectHandle::of_number(subject), &left, count)
+        rendezvous::choose(SubjectHandle::of_number(subject), &remaining, count)
     }
 }
--- a/crates/core/src/placing/promise.rs
+++ b/crates/core/src/placing/prediction.rs
@@ -1,25 +1,25 @@
-//! What was expected of a request that is to be in time, to be compared with what came of it.
+//! Predicted time to the first event of a request, to be compared with the actual time.
 
 use crate::routing::pool::{PoolQuery, PoolRouter};
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// What was expected of a request that is to be in time.
+/// Prediction for a request that was admitted because it is expected to meet its target.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Promise {
+pub(super) struct LatencyPrediction {
     pub(super) made_at: MonotonicTime,
     pub(super) expected: Duration,
     pub(super) target: Duration,
-    /// Time over which outcomes fade; absent where kinds are not compared.
-    pub(super) kinds_window: Option<Duration>,
+    /// Decay window of the outcomes per request kind; `None` if kinds are not compared.
+    pub(super) outcome_window: Option<Duration>,
 }
 
-impl Promise {
-    /// Takes that the first event has come.
-    pub(super) fn judge(self, router: &mut PoolRouter, query: &PoolQuery<'_>, now: MonotonicTime) {
+impl LatencyPrediction {
+    /// Records that the first event arrived at `now`.
+    pub(super) fn record_outcome(self, router: &mut PoolRouter, query: &PoolQuery<'_>, now: MonotonicTime) {
         let took = now.since(self.made_at);
         router.on_first_event(query, self.expected, took);
-        if let Some(window) = self.kinds_window {
+        if let Some(window) = self.outcome_window {
             let kind = usize::from(query.terms.kind_rank);
             let in_time = took <= self.target;
             let sharing = router.sharing_mut();
--- a/crates/core/src/placing/question.rs
+++ b/crates/core/src/placing/question.rs
@@ -1,4 +1,4 @@
-//! What a node asks a placer, and what it tells it afterwards.
+//! Messages between nodes and placers: placement queries, their answers and progress reports.
 
 use crate::engine::EngineRefusalReason;
 use crate::forwarding::PoolId;
@@ -10,173 +10,173 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Names one request at a placer.
+/// Identifies a request at a placer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestKey {
-    /// The node that asks.
+    /// Node that sends the query.
     pub node: SubjectHandle,
-    /// Number that the node has drawn for the request.
+    /// Random number that the node has assigned to the request.
     pub number: u64,
 }
 
-/// A request as a placer has to know it.
+/// Properties of a request that a placer needs to choose engines.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestSummary {
-    /// Pool that serves it.
+    /// Pool that serves the request.
     pub pool: PoolId,
-    /// Its prompt.
+    /// Model, prefixes and token counts of the prompt.
     pub prompt: PromptShape,
-    /// Zone of the node that asks.
+    /// Zone of the node that sends the query.
     pub zone: ZoneId,
-    /// What it is owed.
+    /// Limits and priority that apply to the request.
     pub terms: RequestTerms,
-    /// Rank among requests, from [`crate::routing::pool::rank_of`] or [`crate::routing::pool::LATE_RANK`].
+    /// Priority rank, from [`crate::routing::pool::rank_of`] or [`crate::routing::pool::LATE_RANK`].
     pub rank: u8,
-    /// Time left.
+    /// Time until the deadline.
     pub remaining: Duration,
 }
 
-/// What a node wants of a placer.
+/// Kind of decision that a node requests from a placer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlacementKind {
-    /// Whether the request is taken, and its engines.
+    /// Admission, and engines if the request is admitted.
     Admission(RequestTiming),
-    /// Engines anew, without those that failed it.
+    /// Other engines after a failure.
     Retry {
-        /// Engines that failed the request.
+        /// Engines that have already failed the request.
         excluded: Vec<SubjectHandle>,
     },
-    /// The engine that runs the output of the prompt, which has been read.
+    /// Engine that runs decode, after prefill has finished.
     Decode {
-        /// The engine that has read the prompt.
+        /// Engine that ran prefill.
         source: SubjectHandle,
-        /// Load that it told when it had read the prompt.
+        /// Load that this engine reported at the end of prefill.
         reported_load: Option<ReportedLoad>,
-        /// Engines that failed the request.
+        /// Engines that have already failed the request.
         excluded: Vec<SubjectHandle>,
     },
 }
 
-/// A question about one request; the same one may arrive twice.
+/// A query about one request; it may arrive more than once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacementQuery {
-    /// The request.
+    /// Identifies the request.
     pub key: RequestKey,
-    /// Number of the question among those about the request.
+    /// Sequence number of the query among those for the request.
     pub step: u32,
-    /// The request itself, since any placer may be asked at any time.
+    /// Properties of the request; part of every query, since any placer may be asked at any time.
     pub request: RequestSummary,
-    /// What is wanted.
+    /// Requested decision.
     pub kind: PlacementKind,
 }
 
-/// An engine that a placer chose, and what spoke for it.
+/// An engine that a placer chose, with the state that the choice was based on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChosenEngine {
-    /// The engine.
+    /// Handle of this start of the engine.
     pub engine: SubjectHandle,
-    /// From where it fetches what it does not hold of the prompt.
+    /// Address of the engine from which it fetches missing prefix blocks; `None` if it fetches none.
     pub fetch_from: Option<SocketAddr>,
-    /// Prompt tokens that are read there first.
+    /// Queued prompt tokens that are prefilled before this request.
     pub prompt_tokens_ahead: u64,
-    /// Requests that are there.
+    /// Number of requests running or waiting at the engine.
     pub requests: u32,
-    /// Prompt tokens that it holds.
+    /// Tokens of the prompt that are in the engine's prefix cache.
     pub held_tokens: u32,
-    /// Age of the oldest word of another placer that counted.
+    /// Age of the oldest report of another placer that the estimate includes.
     pub oldest_report_age: Duration,
-    /// How much longer work takes there now, in hundredths of what is usual in its pool.
+    /// Current time for a unit of work, in percent of the usual time in the engine's pool.
     pub work_factor_percent: u16,
-    /// Age of the momentary figure in that; absent where none counts.
+    /// Age of the momentary pace report included in `work_factor_percent`; `None` if there is none.
     pub figure_age: Option<Duration>,
 }
 
-/// Where a request goes.
+/// Engines that a request is sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Placement {
-    /// One engine serves what is left of it.
+    /// One engine runs the rest of the request.
     One(ChosenEngine),
-    /// One engine reads the prompt; who runs the output is asked when it was read.
+    /// One engine runs prefill; a further query after prefill decides which one runs decode.
     Split {
-        /// Reads the prompt.
+        /// Engine that runs prefill.
         prefill: ChosenEngine,
-        /// Would run the output if it were chosen now.
+        /// Engine that would run decode if it were chosen now.
         decode: SubjectHandle,
-        /// Time until the prompt should have been read.
+        /// Expected time until the end of prefill.
         expected: Duration,
     },
-    /// No engine can take it now.
+    /// No engine can accept the request now.
     Nowhere,
 }
 
-/// How a request was admitted.
+/// Result of admission control.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AdmissionVerdict {
-    /// What is done with it.
+    /// Whether the request is admitted, and whether it is expected to be late.
     pub admission: Admission,
-    /// Expected time until the first event; zero where nothing is known of it.
+    /// Expected time to the first event; zero if there is no estimate.
     pub expected: Duration,
-    /// Factor by which expectations are exceeded.
+    /// Factor by which recent requests exceeded the expected time.
     pub error: f32,
-    /// Share of the requests that were turned away of late.
-    pub turned_away: f32,
-    /// How its tenant and its kind stand.
+    /// Fraction of recent requests that were late or refused.
+    pub late_or_refused_share: f32,
+    /// Budget use of the request's tenant and kind.
     pub standing: Standing,
 }
 
-/// A placer's answer to the question with the same key and step.
+/// A placer's answer to the query with the same key and step.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PlacementAnswer {
-    /// The request.
+    /// Identifies the request.
     pub key: RequestKey,
-    /// The question.
+    /// Sequence number of the query.
     pub step: u32,
-    /// Present where admission was wanted.
+    /// Result of admission; `None` if the query did not request it.
     pub verdict: Option<AdmissionVerdict>,
-    /// Where the request goes.
+    /// Engines that the request is sent to.
     pub placement: Placement,
 }
 
-/// What became of a dispatch that a placer has counted.
+/// Progress of a dispatch that a placer has recorded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DispatchProgress {
-    /// The first event has come.
+    /// The first event has arrived.
     Started {
-        /// Load that the engine told.
+        /// Load that the engine reported in its response.
         reported_load: Option<ReportedLoad>,
     },
-    /// It has ended well.
+    /// The response ended successfully.
     Answered {
-        /// Some of the pauses between events, in hundredths of the longest harmless one.
+        /// Sample of the pauses between events, in percent of the longest harmless pause.
         pauses: Vec<u16>,
     },
-    /// The engine refused it before running it.
+    /// The engine refused the dispatch before running it.
     Refused {
-        /// Why.
+        /// Reason given by the engine.
         reason: EngineRefusalReason,
-        /// Load that the engine told.
+        /// Load that the engine reported in its response.
         reported_load: Option<ReportedLoad>,
     },
     /// The connection broke or was refused.
     ConnectionFailed,
-    /// An output paused for longer than is harmless; it goes on.
+    /// An output paused for longer than the longest harmless pause and continues.
     Paused {
-        /// The pause, in hundredths of the longest harmless one.
+        /// Length of the pause, in percent of the longest harmless pause.
         hundredths: u16,
     },
-    /// It ended for a cause that is not the engine's, or nobody waits for the placer's answer any more.
+    /// The dispatch ended for a reason unrelated to the engine, or the placer's answer is no longer needed.
     Abandoned,
-    /// The engine said nothing for too long, or no connection could be made in time.
+    /// The engine did not respond in time, or no connection could be established in time.
     Unresponsive,
 }
 
-/// Tells a placer what became of what it answered to a question.
+/// Reports the progress of a dispatch to the placer that chose it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProgressReport {
-    /// The request.
+    /// Identifies the request.
     pub key: RequestKey,
-    /// The question whose answer it is about.
+    /// Sequence number of the query that the placer answered with this dispatch.
     pub step: u32,
-    /// What became of it.
+    /// Progress of the dispatch.
     pub progress: DispatchProgress,
 }
--- a/crates/core/src/rate_limit/limit.rs
+++ b/crates/core/src/rate_limit/limit.rs
@@ -1,36 +1,38 @@
-//! A limit as an engine names it.
+//! Rate limit of an engine.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Units of a limit in one request a second.
-const UNITS: f64 = 1_000.0;
+/// Internal units per request per second.
+const UNITS_PER_REQUEST_PER_SECOND: f64 = 1_000.0;
 
-/// Rate at which an engine is tried that takes less, in requests a second: nobody would learn otherwise that it takes more.
-const LEAST_RATE: f64 = 0.1;
+/// Minimum rate at which requests are sent, in requests per second. Without any requests, a later increase of the limit would
+/// go unnoticed.
+const MIN_RATE: f64 = 0.1;
 
-/// Requests a second that an engine takes from all nodes together; kept in thousandths, so that limits can be compared.
+/// Requests per second that an engine accepts from all nodes together, stored in thousandths so that limits can be compared
+/// exactly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RateLimit {
     thousandths: u32,
 }
 
 impl RateLimit {
-    /// A limit of so many requests a second; absent where that is no rate.
+    /// Creates a limit; `None` if the rate is negative or not finite.
     pub fn new(requests_per_second: f64) -> Option<Self> {
         (requests_per_second.is_finite() && requests_per_second >= 0.0).then_some(Self {
-            thousandths: (requests_per_second * UNITS) as u32,
+            thousandths: (requests_per_second * UNITS_PER_REQUEST_PER_SECOND) as u32,
         })
     }
 
-    /// Requests a second.
+    /// The limit as named by the engine, in requests per second.
     pub fn requests_per_second(self) -> f64 {
-        f64::from(self.thousandths) / UNITS
+        f64::from(self.thousandths) / UNITS_PER_REQUEST_PER_SECOND
     }
 
-    /// Requests a second that are sent there.
-    pub fn sent_per_second(self) -> f64 {
-        self.requests_per_second().max(LEAST_RATE)
+    /// Rate at which requests may be sent: the limit, but at least the minimum rate.
+    pub fn send_rate(self) -> f64 {
+        self.requests_per_second().max(MIN_RATE)
     }
 }
 
--- a/crates/core/src/rate_limit/max_wait.rs
+++ b/crates/core/src/rate_limit/max_wait.rs
@@ -1,41 +1,41 @@
-//! How long a request waits for its slot at an engine that names a limit.
+//! Maximum time that a request waits for a slot at a rate-limited engine.
 //!
-//! Who waits longer finds a slot where others no longer do, so the longest wait is what keeps the order among requests: one that
-//! came back after a refusal goes before the others, and more urgent kinds before lesser ones.
+//! Requests with a longer maximum wait get slots that others don't, so the maximum wait decides their priority: retries of
+//! refused requests come before first attempts, and urgent kinds before less urgent ones.
 
 use std::time::Duration;
 
-/// Part of the time left that a request of the most urgent kind waits; the others wait a half, a third and so on.
-const FIRST_PART: f64 = 0.1;
+/// Fraction of the remaining time that a request of the most urgent rank waits; rank n waits 1 / (n + 1) of it.
+const FIRST_ATTEMPT_FRACTION: f64 = 0.1;
 
-/// The same for one whose caller was refused before, or whose prompt an engine has read.
-const RETURNED_PART: f64 = 0.25;
+/// Fraction of the remaining time for a retry or a request whose prefill is done.
+const RETRY_FRACTION: f64 = 0.25;
 
-/// Longest wait.
+/// Upper bound on the wait of any request.
 pub const MAX_SLOT_WAIT: Duration = Duration::from_secs(1);
 
-/// What of a request decides.
+/// Properties of a request that determine its maximum wait.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WaitFactors {
-    /// Rank of its kind; zero is the most urgent.
+    /// Rank of the request's kind; zero is the most urgent.
     pub rank: usize,
-    /// Time left.
+    /// Time until the deadline.
     pub remaining: Duration,
-    /// Whether something would be lost with it: its caller was refused before, or its prompt has been read.
+    /// Whether the caller was refused before, or prefill of the prompt is done.
     pub is_retry_or_prefilled: bool,
-    /// Factor by which its tenant had more than its share of the pool; one where it had not.
+    /// Ratio of the tenant's use of the pool to its share; one if the tenant is within its share.
     pub overuse_factor: f64,
 }
 
 impl WaitFactors {
-    /// The longest wait.
+    /// Maximum wait for a slot, up to [`MAX_SLOT_WAIT`].
     pub fn max_wait(&self) -> Duration {
-        let part = if self.is_retry_or_prefilled {
-            RETURNED_PART
+        let fraction = if self.is_retry_or_prefilled {
+            RETRY_FRACTION
         } else {
-            FIRST_PART / (1 + self.rank) as f64
+            FIRST_ATTEMPT_FRACTION / (1 + self.rank) as f64
         };
-        let max_wait = self.remaining.mul_f64(part / self.overuse_factor.max(1.0));
+        let max_wait = self.remaining.mul_f64(fraction / self.overuse_factor.max(1.0));
         max_wait.min(MAX_SLOT_WAIT)
     }
 }
--- a/crates/core/src/rate_limit/message.rs
+++ b/crates/core/src/rate_limit/message.rs
@@ -1,63 +1,63 @@
-//! What nodes tell and ask each other about limits.
+//! Messages between nodes about rate limits and slots.
 
 use super::limit::RateLimit;
 use crate::membership::subject::SubjectHandle;
 use serde::{Deserialize, Serialize};
 
-/// A node's notice of one engine's limit.
+/// A node's notice of the rate limit of one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitNotice {
-    /// The start of the engine.
+    /// Handle of this start of the engine.
     pub engine: SubjectHandle,
-    /// The limit; absent where it has ended.
+    /// The limit; `None` if it has ended.
     pub limit: Option<RateLimit>,
-    /// Milliseconds since that was known to hold.
+    /// Milliseconds since the limit was last confirmed.
     pub age_millis: u32,
-    /// Milliseconds until the first slot that may be free, as far as the sender knows.
+    /// Milliseconds until a slot may be free, as far as the sender knows.
     pub slot_wait_millis: u32,
 }
 
-/// Asks the owner of an engine for a slot.
+/// Request for a slot, sent to the owner of the engine's slots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotRequest {
-    /// Number that the sender has drawn for the question.
+    /// Random number that identifies the request.
     pub number: u64,
-    /// What the sender knows of the engine's limit.
+    /// The engine's limit as known to the sender.
     pub notice: LimitNotice,
-    /// Longest wait for the slot, in milliseconds.
+    /// Maximum wait for the slot, in milliseconds.
     pub max_wait_millis: u32,
 }
 
-/// What is answered to a [`SlotRequest`].
+/// Outcome of a [`SlotRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SlotOutcome {
-    /// The request may be sent after so many milliseconds.
+    /// A slot is reserved.
     Granted {
-        /// Milliseconds.
+        /// Milliseconds until the slot.
         wait_millis: u32,
     },
-    /// No slot comes in time.
+    /// No slot is free within the maximum wait.
     Denied {
-        /// Milliseconds until the next one.
+        /// Milliseconds until the next free slot.
         wait_millis: u32,
     },
-    /// The limit has ended.
+    /// The engine no longer has a limit.
     NotLimited {
-        /// Milliseconds since that was known to hold.
+        /// Milliseconds since the end of the limit was confirmed.
         age_millis: u32,
     },
-    /// Another node keeps the engine's slots.
+    /// Another node owns the engine's slots.
     NotOwner {
-        /// The one that does, as far as the sender knows.
+        /// The owner, as far as the sender knows.
         owner: SubjectHandle,
     },
 }
 
-/// The answer to the question with the same number.
+/// Response to the slot request with the same number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotResponse {
-    /// Number of the question.
+    /// Number of the slot request.
     pub number: u64,
-    /// The answer.
+    /// Whether a slot is granted, and when.
     pub outcome: SlotOutcome,
 }
--- a/crates/core/src/rate_limit/mod.rs
+++ b/crates/core/src/rate_limit/mod.rs
@@ -1,28 +1,30 @@
-//! The requests a second that an engine in need takes from all nodes together.
+//! Rate limits of engines, which apply to the requests of all nodes together.
 //!
-//! Every node sends to every engine, and none sees what the others send, so a limit can't be kept by each node for itself.
-//! One node owns the slots of an engine: the first by rendezvous hashing of those that know limits ([`slot_owner`]). A node that
-//! wants to send a request there asks it for a slot, and sends when the slot has come or goes elsewhere:
+//! Every node sends requests to every engine and none sees the requests of others, so no node can enforce a limit alone. One
+//! node owns the slots of an engine: the first by rendezvous hashing among the nodes that support rate limits
+//! ([`slot_owner`]). A node that wants to send a request to the engine asks the owner for a slot, then waits for the slot or
+//! chooses another engine:
 //!
 //! ```text
-//! rate of the owner = limit * part
-//! part               = 1          where it hears FULL_FROM of all nodes or more
-//!                    = heard/all  otherwise
-//! slot               = the next free one, spaced by 1 / rate; an idle engine has up to SAVED slots besides
-//! granted            if the slot comes within the longest wait of the request, denied with the time until it otherwise
+//! rate of the owner = limit * share
+//! share             = 1                      if the owner reaches FULL_LIMIT_QUORUM of all nodes or more
+//!                   = reached / all nodes    otherwise
+//! slot              = the next free one, spaced by 1 / rate; after an idle time up to MAX_BURST more are free at once
+//! granted           if the slot is within the request's maximum wait; otherwise denied with the time until the slot
 //! ```
 //!
-//! Nodes that can't reach each other choose different owners, of which each reaches the fewer the more there are, so that the sum
-//! stays near the limit however the fleet is split: a node that reaches nobody has its own part without a message.
+//! If the fleet is partitioned, each part chooses its own owner, and each owner uses a share according to the nodes that it
+//! reaches. The sum of the shares stays near one however the fleet is split. An isolated node owns its share without any
+//! messages.
 
-mod estimate;
+mod belief;
 mod limit;
 pub mod max_wait;
 mod message;
 pub mod slot_owner;
 mod slots;
 
-pub use estimate::{LimitChange, LimitEstimate, ResponseLimit};
+pub use belief::{LimitChange, LimitEstimate, ResponseLimit};
 pub use limit::RateLimit;
 pub use message::{LimitNotice, SlotOutcome, SlotRequest, SlotResponse};
 pub use slots::{Slot, SlotSchedule};
--- a/crates/core/src/rate_limit/slot_owner.rs
+++ b/crates/core/src/rate_limit/slot_owner.rs
@@ -1,4 +1,4 @@
-//! Who owns the slots of an engine, and what an owner knows of the engines whose slots it owns.
+//! Choice of the node that owns the slots of an engine, and the slot schedules of an owner.
 
 use super::limit::RateLimit;
 use super::slots::{Slot, SlotSchedule};
@@ -8,65 +8,67 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Part of all nodes from which on an owner that reaches so many has the whole limit. Others that reach each other and not it are
-/// fewer, and have at most the rest besides: together less than half as much again as the engine named.
-const FULL_FROM: f64 = 0.65;
+/// Fraction of all nodes that an owner must reach to use the whole limit. The owners of other partitions use at most the
+/// remaining fraction in addition, so the total stays below 1.5 times the limit.
+const FULL_LIMIT_QUORUM: f64 = 0.65;
 
-/// Time after which the slots of an engine that nobody asked for are forgotten.
-const FORGET_AFTER: Duration = Duration::from_secs(60);
+/// Time without slot requests after which the schedule of an engine is removed.
+const SCHEDULE_RETENTION: Duration = Duration::from_secs(60);
 
-/// Time after which an owner is asked again that does not know how many nodes there are.
-const NO_PART: Duration = Duration::from_millis(500);
+/// Time until the next attempt when the owner does not know the number of nodes yet.
+const NO_SHARE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The owner of an engine's slots, of those that may be; absent where there is none.
+/// Owner of an engine's slots; `None` if there are no candidates.
 pub fn owner_of(engine: SubjectHandle, candidates: &[SubjectHandle]) -> Option<SubjectHandle> {
     rendezvous::choose(engine, candidates, 1).pop()
 }
 
-/// The part of a limit that an owner has which reaches so many of all nodes, itself included, that keep to limits as well.
-pub fn limit_share(heard: u32, nodes: u32) -> f64 {
-    let part = (f64::from(heard) / f64::from(nodes.max(1))).min(1.0);
-    if part >= FULL_FROM { 1.0 } else { part }
+/// Share of a limit that an owner may use if it reaches `reached` of the `nodes` nodes that support rate limits, both
+/// including itself.
+pub fn limit_share(reached: u32, nodes: u32) -> f64 {
+    let share = (f64::from(reached) / f64::from(nodes.max(1))).min(1.0);
+    if share >= FULL_LIMIT_QUORUM { 1.0 } else { share }
 }
 
-/// The slots that one node keeps.
+/// Slot schedules of the engines whose slots one node owns.
 #[derive(Clone, Debug, Default)]
 pub struct SlotOwner {
     schedules: BTreeMap<SubjectHandle, (SlotSchedule, MonotonicTime)>,
 }
 
 impl SlotOwner {
-    /// Asks for a slot at an engine, from the part of its limit that `own`, this node, has. There is none while it has no part.
-    pub fn take(
+    /// Reserves a slot at an engine, where `own` is this node and `share` the share of the limit that it may use. No slot is available while
+    /// the share is zero.
+    pub fn reserve(
         &mut self,
         own: SubjectHandle,
         engine: SubjectHandle,
         limit: RateLimit,
-        part: f64,
+        share: f64,
         max_wait: Duration,
         now: MonotonicTime,
     ) -> Slot {
         self.schedules
-            .retain(|_, (_, asked_at)| now.since(*asked_at) < FORGET_AFTER);
-        if part <= 0.0 {
-            return Slot::NotInTime(NO_PART);
+            .retain(|_, (_, last_request_at)| now.since(*last_request_at) < SCHEDULE_RETENTION);
+        if share <= 0.0 {
+            return Slot::NotInTime(NO_SHARE_RETRY_INTERVAL);
         }
-        let rate = limit.sent_per_second() * part;
-        let (schedule, asked_at) = self
+        let rate = limit.send_rate() * share;
+        let (schedule, last_request_at) = self
             .schedules
             .entry(engine)
-            .or_insert_with(|| (SlotSchedule::begin(rate, phase(own, engine), now), now));
-        *asked_at = now;
-        schedule.take(rate, part >= 1.0, max_wait, now)
+            .or_insert_with(|| (SlotSchedule::new(rate, phase(own, engine), now), now));
+        *last_request_at = now;
+        schedule.reserve(rate, share >= 1.0, max_wait, now)
     }
 
-    /// Engines whose slots were asked for of late.
+    /// Number of engines with recent slot requests.
     pub fn engine_count(&self) -> usize {
         self.schedules.len()
     }
 }
 
-/// Where in an interval an owner's slots fall, as a fraction.
+/// Offset of an owner's slots within the interval between slots, as a fraction.
 fn phase(own: SubjectHandle, engine: SubjectHandle) -> f64 {
     mix(own.number() ^ mix(engine.number())) as f64 / u64::MAX as f64
 }
--- a/crates/core/tests/rate_limit_slots.rs
+++ b/crates/core/tests/rate_limit_slots.rs
@@ -167,7 +167,7 @@
         let (engine, limit) = (self.engine, self.limit);
         let slot = self.nodes[owner]
             .owner
-            .take(own, engine, limit, part, max_wait, at(asked_at));
+            .reserve(own, engine, limit, part, max_wait, at(asked_at));
         match slot {
             Slot::After(wait) => {
                 let way = self.random.random_range(WAY_MILLIS) + self.random.random_range(WAY_MILLIS);
@@ -319,15 +319,15 @@
     let limit = |rate| RateLimit::new(rate).unwrap();
     let max_wait = Duration::from_secs(1);
     let mut owner = SlotOwner::default();
-    let none = owner.take(own, engine, limit(2.0), 0.0, max_wait, at(0));
+    let none = owner.reserve(own, engine, limit(2.0), 0.0, max_wait, at(0));
     assert!(
         matches!(none, Slot::NotInTime(wait) if wait < max_wait),
         "{none:?}"
     );
-    let isolated = owner.take(own, engine, limit(0.1), 0.001, max_wait, at(10));
+    let isolated = owner.reserve(own, engine, limit(0.1), 0.001, max_wait, at(10));
     assert!(matches!(isolated, Slot::NotInTime(_)), "{isolated:?}");
     // Half a second between two slots, and up to a second for those who wait for theirs.
-    let whole = owner.take(own, engine, limit(2.0), 1.0, Duration::from_secs(3), at(20));
+    let whole = owner.reserve(own, engine, limit(2.0), 1.0, Duration::from_secs(3), at(20));
     assert!(
         matches!(whole, Slot::After(wait) if wait <= Duration::from_millis(1_500)),
         "{whole:?}"
--- a/crates/node/src/course/admitting.rs
+++ b/crates/node/src/course/admitting.rs
@@ -204,7 +204,7 @@
             admission: verdict.admission,
             expected: verdict.expected,
             error: f64::from(verdict.error),
-            turned_away: f64::from(verdict.turned_away),
+            turned_away: f64::from(verdict.late_or_refused_share),
             standing: verdict.standing,
         }
     }
--- a/crates/node/src/rate_limits/asking.rs
+++ b/crates/node/src/rate_limits/asking.rs
@@ -143,7 +143,7 @@
 ) -> SlotOutcome {
     let part = context.peers.part_of_limits(now);
     let own = context.peers.own_handle();
-    let slot = lock(&context.rate_limits.owner).take(own, engine, limit, part, max_wait, now);
+    let slot = lock(&context.rate_limits.owner).reserve(own, engine, limit, part, max_wait, now);
     match slot {
         Slot::After(wait) => SlotOutcome::Granted {
             wait_millis: wait.as_millis() as u32,
