--- a/crates/core/src/placing/question.rs
+++ b/crates/core/src/placing/question.rs
@@ -4,7 +4,7 @@
 use crate::forwarding::PoolId;
 use crate::identity::ZoneId;
 use crate::membership::subject::SubjectHandle;
-use crate::routing::pool::{Admission, PromptShape, ReportedLoad, RequestTerms, RequestTiming};
+use crate::routing::pool::{Admission, PromptShape, ReportedLoad, RequestConstraints, RequestTiming};
 use crate::sharing::Standing;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -29,8 +29,8 @@
     /// Zone of the node that sends the query.
     pub zone: ZoneId,
     /// Limits and priority that apply to the request.
-    pub terms: RequestTerms,
-    /// Priority rank, from [`crate::routing::pool::rank_of`] or [`crate::routing::pool::LATE_RANK`].
+    pub constraints: RequestConstraints,
+    /// Priority rank, from [`crate::routing::pool::rank_for_priority`] or [`crate::routing::pool::LATE_RANK`].
     pub rank: u8,
     /// Time until the deadline.
     pub remaining: Duration,
@@ -88,7 +88,7 @@
     /// Current time for a unit of work, in percent of the usual time in the engine's pool.
     pub work_factor_percent: u16,
     /// Age of the momentary pace report included in `work_factor_percent`; `None` if there is none.
-    pub figure_age: Option<Duration>,
+    pub reported_pace_age: Option<Duration>,
 }
 
 /// Engines that a request is sent to.
--- a/crates/core/src/routing/pool/dispatches.rs
+++ b/crates/core/src/routing/pool/dispatches.rs
@@ -1,10 +1,10 @@
 //! Lifecycle of dispatches: updates in-flight work, speeds, health and prefix estimates from their outcomes.
 
 use super::admission::LATE_RANK;
-use super::beliefs::PrefixNews;
-use super::cost::{ReadingWork, shared_prefixes};
+use super::cost::{PrefillWork, shared_prefixes};
 use super::engine::{EngineState, InFlightWork};
 use super::pace::{ObservedWork, PaceObservation};
+use super::peer_reports::PrefixUpdate;
 use super::pool_speeds::PoolSpeeds;
 use super::query::{PoolQuery, PrefixBlock, PromptShape};
 use super::router::PoolRouter;
@@ -80,7 +80,7 @@
         let prompt_tokens = query.prompt.map_or(0, |prompt| prompt.tokens);
         let prefill = match kv_source {
             KvCacheSource::Prefill => self.prefill_work_at(engine, query, now),
-            KvCacheSource::Transfer => ReadingWork {
+            KvCacheSource::Transfer => PrefillWork {
                 computed: 0.0,
                 fetched: f64::from(prompt_tokens),
             },
@@ -96,10 +96,10 @@
         )
     }
 
-    fn prefill_work_at(&self, engine: &EngineId, query: &PoolQuery<'_>, now: MonotonicTime) -> ReadingWork {
+    fn prefill_work_at(&self, engine: &EngineId, query: &PoolQuery<'_>, now: MonotonicTime) -> PrefillWork {
         let context = self.context(query, now);
         let state = self.engines.get(engine);
-        state.map_or(ReadingWork::default(), |state| context.reading(state, query))
+        state.map_or(PrefillWork::default(), |state| context.prefill_work(state, query))
     }
 
     /// Records that an engine has finished prefilling a prompt and now holds its prefix blocks.
@@ -108,7 +108,7 @@
             return;
         };
         state.health.on_success();
-        state.breaks.answered();
+        state.breaks.record_success();
         record_prefixes(state, prefixes, &mut self.prefix_updates, now);
         self.paths
             .record_answer(&ticket.sender_zone, &state.engine.zone, now);
@@ -196,7 +196,7 @@
         if let Some(state) = self.engines.get_mut(&ticket.engine) {
             let work = state.in_flight.remove(&ticket.number);
             state.health.on_success();
-            state.breaks.answered();
+            state.breaks.record_success();
             // The time of the answer is not known here; the dispatch time is a lower bound.
             if let Some(work) = work {
                 self.paths
@@ -228,7 +228,7 @@
         if let Some(state) = self.engines.get_mut(&ticket.engine) {
             state.in_flight.remove(&ticket.number);
             state.health.on_connection_failure(now);
-            state.breaks.broke(now);
+            state.breaks.record_failure(now);
         }
     }
 
@@ -256,7 +256,7 @@
         let expected = speed.seconds(work.tokens_until_prefilled);
         // Excludes requests that were queued at a full engine: their duration includes the queueing time.
         if work.kv_source.is_none() || work.had_free_slot {
-            if state.pace.in_use {
+            if state.pace.is_enabled {
                 let momentary = (work.momentary_pace + state.pace.momentary_factor(now)) / 2.0;
                 let factor = momentary * state.pace.lasting.factor();
                 let fixed = speed.fixed_seconds();
@@ -284,12 +284,12 @@
         &mut self,
         engine: &EngineId,
         query: &PoolQuery<'_>,
-        prefill: ReadingWork,
+        prefill: PrefillWork,
         memory_tokens: f64,
         kv_source: Option<KvCacheSource>,
         now: MonotonicTime,
     ) -> PoolTicket {
-        self.tickets += 1;
+        self.last_ticket_number += 1;
         let rank = query.rank;
         if let Some(state) = self.engines.get(engine) {
             let (pool, stage) = (state.engine.pool.clone(), state.engine.stage);
@@ -306,12 +306,12 @@
                 kv_source,
                 had_free_slot: state.has_free_slot(now),
                 tokens_until_prefilled: state.load(now).prompt_tokens_ahead(rank) + prefill.computed,
-                max_event_gap: query.terms.max_event_gap.filter(|_| kv_source.is_some()),
+                max_event_gap: query.constraints.max_event_gap.filter(|_| kv_source.is_some()),
                 output_tokens: query.prompt.map_or(0, PromptShape::expected_output_tokens),
                 first_event_at: None,
                 momentary_pace: state.pace.momentary_factor(now),
             };
-            state.in_flight.insert(self.tickets, work);
+            state.in_flight.insert(self.last_ticket_number, work);
             state
                 .recent_prefill
                 .observe(state.load(now).all_prompt_tokens(), now);
@@ -320,7 +320,7 @@
         PoolTicket {
             engine: engine.clone(),
             sender_zone: query.zone.clone(),
-            number: self.tickets,
+            number: self.last_ticket_number,
         }
     }
 }
@@ -328,14 +328,14 @@
 fn record_prefixes(
     state: &mut EngineState,
     prefixes: &[PrefixBlock],
-    updates: &mut Vec<PrefixNews>,
+    updates: &mut Vec<PrefixUpdate>,
     now: MonotonicTime,
 ) {
     state.record_answer(now);
-    state.prefixes.note_read(prefixes, now);
+    state.prefixes.record_prefill(prefixes, now);
     // The update includes the block of this request alone: it cannot be shared, but displaces shared blocks from the cache.
     if !shared_prefixes(prefixes).is_empty() && updates.len() < MAX_PENDING_UPDATES {
-        updates.push(PrefixNews {
+        updates.push(PrefixUpdate {
             engine: state.handle,
             prefixes: prefixes.to_vec(),
             just_answered: true,
