--- a/crates/core/src/placing/placement_table.rs
+++ b/crates/core/src/placing/placement_table.rs
@@ -245,7 +245,7 @@
         let verdict = AdmissionVerdict {
             admission: decision.admission,
             expected: decision.expected,
-            error: decision.error as f32,
+            error: decision.error_factor as f32,
             late_or_refused_share: decision.late_or_refused_share as f32,
             standing: decision.standing,
         };
--- a/crates/core/src/rate_limit/belief.rs
+++ b/crates/core/src/rate_limit/belief.rs
@@ -119,7 +119,7 @@
     }
 
     /// Records that no slot is free until `wait` has passed.
-    pub fn note_slot(&mut self, wait: Duration, now: MonotonicTime) {
+    pub fn record_slot_wait(&mut self, wait: Duration, now: MonotonicTime) {
         self.next_slot = Some(now + wait.min(MAX_REMEMBERED_WAIT));
     }
 
