--- a/crates/core/src/routing/pool/choice.rs
+++ b/crates/core/src/routing/pool/choice.rs
@@ -1,4 +1,4 @@
-//! Which engines a request goes to, and why.
+//! Selection of the engines that serve a request, by lowest cost.
 
 use super::cost::{CostContext, PrefillSite, shared_prefixes};
 use super::engine::{EngineStage, EngineState, PoolEngine};
@@ -11,59 +11,59 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Fewest tokens that are fetched from another engine rather than read.
+/// Fewest additional tokens for which a KV cache transfer from another engine is used instead of prefill.
 const MIN_FETCH_TOKENS: u32 = 64;
 
-/// Where a request goes.
+/// Engines selected for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PoolRoute {
-    /// One engine serves all of it.
+    /// One engine serves the whole request.
     Whole(PoolEngine),
-    /// One engine reads the prompt; another fetches its KV cache and runs the output.
+    /// One engine runs prefill; another receives the KV cache and runs decode.
     Split {
-        /// Reads the prompt.
+        /// Runs prefill.
         prefill: PoolEngine,
-        /// Runs the output.
+        /// Runs decode.
         decode: PoolEngine,
     },
-    /// No engine can take it now.
+    /// No engine can take the request now.
     Nowhere,
 }
 
-/// What decided for an engine.
+/// Why an engine was selected, for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Explanation {
-    /// Its cost, in seconds.
+    /// Cost of the selected engine, in seconds.
     pub cost: f64,
-    /// The cheapest of the others and its cost.
+    /// The cheapest other candidate and its cost in seconds; absent when there was no other candidate.
     pub runner_up: Option<(EngineId, f64)>,
-    /// What is believed of the engine.
+    /// Estimated state of the selected engine.
     pub estimate: EngineEstimate,
 }
 
-/// What is believed of one engine in respect of one request.
+/// Estimated state of one engine as seen by one request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineEstimate {
-    /// Prompt tokens believed to be read there first.
+    /// Prompt tokens that the engine prefills before those of the request.
     pub prompt_tokens_ahead: u64,
-    /// Requests believed to be there.
+    /// Requests in flight at the engine.
     pub requests: u32,
-    /// Prompt tokens that it is believed to hold.
+    /// Tokens of the prompt whose KV cache the engine holds.
     pub held_tokens: u32,
     /// Age of the oldest word of another node that counts.
     pub oldest_report_age: Duration,
-    /// How much longer work takes there now, in hundredths of what is usual in its pool.
+    /// Current execution time in percent of the pool's usual time.
     pub work_factor_percent: u16,
     /// Age of the momentary figure in that; absent where none counts.
     pub reported_pace_age: Option<Duration>,
 }
 
 impl PoolRouter {
-    /// Chooses where a request goes; nothing that leaves or lacks the model is chosen, and an engine that is left
-    /// alone for a while only where there is no other.
+    /// Selects engines for a request. Engines that are leaving or lack the model are never selected; engines that are
+    /// avoided temporarily are selected only when no other engine is available.
     pub fn choose(&self, query: &PoolQuery<'_>, now: MonotonicTime) -> PoolRoute {
-        for wider in widened(query) {
-            let route = self.choose_among(&wider, now);
+        for attempt in with_fallback(query) {
+            let route = self.choose_among(&attempt, now);
             if route != PoolRoute::Nowhere {
                 return route;
             }
@@ -78,7 +78,7 @@
         };
         if query.prompt.is_none() {
             return cheapest(self.candidates(query, EngineStage::Whole, now), |state| {
-                context.output(state, PrefillSite::in_zone(query.zone), query)
+                context.decode_cost(state, PrefillSite::in_zone(query.zone), query)
             })
             .map_or(PoolRoute::Nowhere, |(_, state)| {
                 PoolRoute::Whole(state.engine.clone())
@@ -99,19 +99,19 @@
         }
     }
 
-    /// Chooses the engine that runs the output of a prompt that `source` has read.
+    /// Selects the engine that runs decode after `source` has prefilled the prompt; absent when none is available.
     pub fn choose_output(
         &self,
         query: &PoolQuery<'_>,
         source: &EngineId,
         now: MonotonicTime,
     ) -> Option<PoolEngine> {
-        widened(query)
+        with_fallback(query)
             .iter()
-            .find_map(|wider| self.choose_output_among(wider, source, now))
+            .find_map(|attempt| self.choose_decode_among(attempt, source, now))
     }
 
-    fn choose_output_among(
+    fn choose_decode_among(
         &self,
         query: &PoolQuery<'_>,
         source: &EngineId,
@@ -122,20 +122,21 @@
             .engines
             .get(source)
             .map_or(PrefillSite::in_zone(query.zone), |state| {
-                self.output_source(state, query, now)
+                self.prefill_site(state, query, now)
             });
         cheapest(self.output_candidates(query, source.zone, now), |state| {
-            context.output(state, source, query)
+            context.decode_cost(state, source, query)
         })
         .map(|(_, state)| state.engine.clone())
     }
 
-    /// What decided for an engine, for the log; `stage` is the part that it was chosen for.
+    /// Explains the selection of an engine for the log. `stage` is the stage that it was selected for, `runs_prefill`
+    /// whether it also prefills the prompt.
     pub fn explain(
         &self,
         engine: &EngineId,
         stage: EngineStage,
-        reads: bool,
+        runs_prefill: bool,
         query: &PoolQuery<'_>,
         now: MonotonicTime,
     ) -> Explanation {
@@ -144,12 +145,12 @@
             ..self.context(query, now)
         };
         let home = self.home(query, now);
-        let cost = |state: &EngineState| match (stage, reads) {
+        let cost = |state: &EngineState| match (stage, runs_prefill) {
             (EngineStage::Prefill, _) => {
-                context.prompt(state, query, home.as_ref() == Some(&state.engine.id))
+                context.prefill_cost(state, query, home.as_ref() == Some(&state.engine.id))
             }
-            (EngineStage::Decode, true) => context.both(state, query),
-            _ => context.output(state, PrefillSite::in_zone(query.zone), query),
+            (EngineStage::Decode, true) => context.combined_cost(state, query),
+            _ => context.decode_cost(state, PrefillSite::in_zone(query.zone), query),
         };
         let others = self
             .candidates(query, stage, now)
@@ -162,15 +163,15 @@
         }
     }
 
-    /// What is believed of an engine; nothing where it is not known.
+    /// Estimated state of an engine; all zero for an unknown engine.
     pub fn estimate(&self, engine: &EngineId, query: &PoolQuery<'_>, now: MonotonicTime) -> EngineEstimate {
         let Some(state) = self.engines.get(engine) else {
             return EngineEstimate::default();
         };
-        let work = state.load(now);
+        let load = state.load(now);
         EngineEstimate {
-            prompt_tokens_ahead: work.prompt_tokens_ahead(query.rank) as u64,
-            requests: work.requests as u32,
+            prompt_tokens_ahead: load.prompt_tokens_ahead(query.rank) as u64,
+            requests: load.requests as u32,
             held_tokens: state.prefixes.held_tokens(query.prefixes),
             oldest_report_age: state.oldest_report_age(now),
             work_factor_percent: (state.work_factor(now) * 100.0) as u16,
@@ -178,7 +179,7 @@
         }
     }
 
-    /// Time until a prompt sent now to an engine would have been read there; absent where the engine is not known.
+    /// Expected time until the engine has prefilled a prompt that is sent now; absent for an unknown engine.
     pub fn prefill_delay(
         &self,
         engine: &EngineId,
@@ -193,8 +194,8 @@
         Some(Duration::from_secs_f64(seconds))
     }
 
-    /// From where an engine that reads a prompt fetches what it does not hold; absent where nobody holds more, or only
-    /// beyond a suspected path.
+    /// Address from which the engine fetches the part of the KV cache that it lacks. Absent when no other reachable
+    /// engine holds at least [`MIN_FETCH_TOKENS`] more, or when the pool does not support transfers.
     pub fn fetch_source(
         &self,
         engine: &EngineId,
@@ -203,15 +204,15 @@
     ) -> Option<SocketAddr> {
         let context = self.context(query, now);
         context.move_seconds?;
-        let reader = self.engines.get(engine)?;
-        let held = reader.prefixes.held_tokens(query.prefixes);
+        let prefill_engine = self.engines.get(engine)?;
+        let held = prefill_engine.prefixes.held_tokens(query.prefixes);
         let (tokens, holder) = self.best_holder(query, now)?;
-        let worth_it = tokens >= held + MIN_FETCH_TOKENS
+        let is_worthwhile = tokens >= held + MIN_FETCH_TOKENS
             && holder.engine.id != *engine
             && self
                 .paths
-                .allows_transfer(&reader.engine.zone, &holder.engine.zone);
-        worth_it.then_some(holder.engine.address)
+                .allows_transfer(&prefill_engine.engine.zone, &holder.engine.zone);
+        is_worthwhile.then_some(holder.engine.address)
     }
 
     pub(super) fn context(&self, query: &PoolQuery<'_>, now: MonotonicTime) -> CostContext<'_> {
@@ -228,8 +229,8 @@
         }
     }
 
-    /// The engine that holds most of a prompt's beginning, and of several the one that used it last: engines drop what
-    /// was not used for long, and nobody tells.
+    /// The engine that holds the longest prefix of the prompt. Of several the most recent user is taken, because engines
+    /// evict unused blocks without reporting it.
     fn best_holder(&self, query: &PoolQuery<'_>, now: MonotonicTime) -> Option<(u32, &EngineState)> {
         let holders = self.engines.values().filter(|state| {
             state.engine.pool == *query.pool
@@ -260,7 +261,7 @@
                 && !query.excluded.contains(&state.engine.id)
                 && query
                     .prompt
-                    .is_none_or(|prompt| holds(&state.engine, &prompt.model))
+                    .is_none_or(|prompt| has_model(&state.engine, &prompt.model))
         })
     }
 
@@ -270,10 +271,10 @@
         context: &CostContext<'_>,
     ) -> Option<(f64, &'a EngineState, &'a EngineState)> {
         let (prompt_cost, prefill) = self.choose_prefill(query, context)?;
-        let source = self.output_source(prefill, query, context.now);
-        let decodes = self.output_candidates(query, source.zone, context.now);
-        let (cost, decode) = cheapest(decodes, |state| context.output(state, source, query))?;
-        Some((prompt_cost + cost + context.hand_over(query), prefill, decode))
+        let source = self.prefill_site(prefill, query, context.now);
+        let decode_engines = self.output_candidates(query, source.zone, context.now);
+        let (cost, decode) = cheapest(decode_engines, |state| context.decode_cost(state, source, query))?;
+        Some((prompt_cost + cost + context.handoff_cost(query), prefill, decode))
     }
 
     fn choose_prefill<'a>(
@@ -286,54 +287,55 @@
             self.candidates(query, EngineStage::Prefill, context.now),
             |state| {
                 let is_home = home.as_ref() == Some(&state.engine.id);
-                context.prompt(state, query, is_home)
+                context.prefill_cost(state, query, is_home)
             },
         )
     }
 
-    /// Where the output of a prompt that an engine reads comes from.
-    fn output_source<'a>(
+    /// The prefill site of a prompt that the given engine prefills.
+    fn prefill_site<'a>(
         &self,
-        reads: &'a EngineState,
+        prefill: &'a EngineState,
         query: &PoolQuery<'_>,
         now: MonotonicTime,
     ) -> PrefillSite<'a> {
-        let zone = &reads.engine.zone;
+        let zone = &prefill.engine.zone;
         PrefillSite {
             zone,
-            is_sole_cache_zone: reads.engine.spot && self.is_sole_cache_zone(zone, query, now),
+            is_sole_cache_zone: prefill.engine.spot && self.is_sole_cache_zone(zone, query, now),
         }
     }
 
-    /// Whether no zone but this one keeps the shared part of a prompt.
+    /// Whether no engine outside the zone holds the whole shared prefix of the prompt.
     fn is_sole_cache_zone(&self, zone: &ZoneId, query: &PoolQuery<'_>, now: MonotonicTime) -> bool {
         let shared = shared_prefixes(query.prefixes);
         let tokens: u32 = shared.iter().map(|block| block.tokens).sum();
-        let elsewhere = self.engines.values().filter(|state| {
+        let others = self.engines.values().filter(|state| {
             state.engine.zone != *zone && state.engine.pool == *query.pool && state.can_be_fetched_from(now)
         });
         tokens > 0
-            && elsewhere
+            && others
                 .into_iter()
                 .all(|state| state.prefixes.held_tokens(shared) < tokens)
     }
 
-    /// An engine that runs outputs and reads this prompt itself.
+    /// Selects a decode engine that also prefills the prompt itself.
     fn choose_combined<'a>(
         &'a self,
         query: &'a PoolQuery<'_>,
         context: &CostContext<'_>,
     ) -> Option<(f64, &'a EngineState)> {
-        let decodes = self.candidates(query, EngineStage::Decode, context.now);
-        cheapest(decodes, |state| context.both(state, query))
+        let decode_engines = self.candidates(query, EngineStage::Decode, context.now);
+        cheapest(decode_engines, |state| context.combined_cost(state, query))
     }
 
-    /// The engine at which the shared part of a prompt is kept, by rendezvous hashing over those that read prompts.
+    /// The engine that prefills the shared prefix when no engine holds it yet, by rendezvous hashing over the prefill
+    /// engines, so that nodes agree without communication.
     pub(super) fn home(&self, query: &PoolQuery<'_>, now: MonotonicTime) -> Option<EngineId> {
         let shared = shared_prefixes(query.prefixes);
         let last = shared.last().or(query.prefixes.last())?;
         let task = SubjectHandle::of_number(last.hash);
-        // An engine that is left alone for a moment stays the home: moving its parts costs more than the moment.
+        // An engine in backoff remains the home: computing its prefixes again elsewhere costs more than a short wait.
         let homes = self.engines.values().filter(|state| {
             state.engine.pool == *query.pool
                 && state.engine.stage == EngineStage::Prefill
@@ -347,8 +349,8 @@
     }
 }
 
-/// The query itself, then with engines that are left alone for a while.
-fn widened<'a>(query: &PoolQuery<'a>) -> [PoolQuery<'a>; 2] {
+/// The query itself, then the same query with temporarily avoided engines allowed.
+fn with_fallback<'a>(query: &PoolQuery<'a>) -> [PoolQuery<'a>; 2] {
     let last_resort = PoolQuery {
         last_resort: true,
         ..query.clone()
@@ -356,7 +358,7 @@
     [query.clone(), last_resort]
 }
 
-fn holds(engine: &PoolEngine, model: &str) -> bool {
+fn has_model(engine: &PoolEngine, model: &str) -> bool {
     engine.models.iter().any(|held| held == model)
 }
 
--- a/crates/core/src/routing/pool/cost.rs
+++ b/crates/core/src/routing/pool/cost.rs
@@ -1,48 +1,48 @@
-//! The cost of a choice, in seconds; the lowest is taken.
+//! Cost of an engine for a request, in seconds; the router selects the lowest cost.
 //!
-//! With `w` the [`PoolWeights`], `read` and `read here` the learned times of a reading at an engine that reads prompts
-//! and at one that runs outputs ([`PoolSpeeds`]: a fixed part and a part for each token), and the work at an engine
-//! counted over this node and every other that told of its own:
+//! In the formulas, `w` is [`PoolWeights`]. `prefill(n)` and `decode prefill(n)` are the learned times to prefill `n`
+//! tokens at a prefill engine and at a decode engine ([`PoolSpeeds`]: a fixed part plus a part for each token). The load
+//! of an engine includes the requests of this node and those that peers report.
 //!
 //! ```text
-//! held at e    = tokens of the prompt that e is believed to hold, from its beginning
-//! fetched to e = tokens that another engine holds beyond e, where the pool can fetch them
+//! held at e     = leading tokens of the prompt whose KV cache e is estimated to hold
+//! fetched to e  = further leading tokens that another engine holds (if the pool supports transfers)
 //! computed at e = tokens of the prompt that are neither held nor fetched
-//! arriving at e = w.arriving * tokens of KV cache on their way to e * seconds to move a token
-//! fetch to e   = w.fetch * fetched to e * seconds to move a token + arriving at e   (where anything is fetched)
+//! incoming to e = w.arriving * KV cache tokens in transfer to e * seconds to transfer a token
+//! fetch to e    = w.fetch * fetched to e * seconds to transfer a token + incoming to e   (zero if nothing is fetched)
 //!
-//! prompt at e  = factor * read(w.wait * prompt tokens ahead at e + w.compute * computed at e) + fetch to e
-//!              + w.away_seconds                     (unless e is the home of a part that nobody is known to hold)
-//!              + w.other_zone_seconds               (where e is not in this node's zone)
+//! prefill at e  = factor * prefill(w.wait * prompt tokens ahead at e + w.compute * computed at e) + fetch to e
+//!               + w.away_seconds                     (if no engine holds a prefix and e is not its home engine)
+//!               + w.other_zone_seconds               (if e is not in this node's zone)
 //!
-//! load of e    = w.places_seconds * (taken / places)^2 + w.memory_seconds * (tokens taken / tokens)^2
-//!              + w.overflow_seconds * requests beyond the places
-//! held up at e = w.held_up * read here(prompt tokens at e)           (outputs wait while it reads; none: nothing)
-//! output time  = w.output_time * output tokens * learned time of a token at a usual engine   (where paces decide)
-//! output at e  = factor * (load of e + held up at e + output time) + arriving at e
-//!              + w.transfer_zone_seconds                          (in another zone than the prompt's engine)
-//!                or w.lone_zone_seconds          (in its zone, where that alone keeps the shared part and may lose it)
-//! hand-over    = w.handover_seconds + w.transfer * tokens of the prompt * seconds to move a token
+//! load of e     = w.places_seconds * (slots used / slots)^2 + w.memory_seconds * (tokens used / token capacity)^2
+//!               + w.overflow_seconds * requests beyond the slots
+//! stall at e    = w.held_up * decode prefill(prompt tokens at e)     (decode waits while e prefills)
+//! decode time   = w.output_time * output tokens * learned time of a token at an average engine   (if paces are in use)
+//! decode at e   = factor * (load of e + stall at e + decode time) + incoming to e
+//!               + w.transfer_zone_seconds        (if e is not in the zone of the prefill engine)
+//!                 or w.lone_zone_seconds         (if e is in that zone, and only its spot engines hold the shared prefix)
+//! handoff       = w.handover_seconds + w.transfer * tokens of the prompt * seconds to transfer a token
 //!
-//! both at e    = factor * (load of e + output time) + fetch to e + factor * read here(prompt tokens ahead at e + computed at e)
-//!                * (1 + (w.decode_reading_stall + w.decode_reading_harm * harm) * (1 + outputs at e))
+//! combined at e = factor * (load of e + decode time) + fetch to e
+//!               + factor * decode prefill(prompt tokens ahead at e + computed at e)
+//!                 * (1 + (w.decode_reading_stall + w.decode_reading_harm * harm) * (1 + decoding requests at e))
 //!
-//! factor       = how much longer work takes at e now ([`EngineState::work_factor`]); where paces decide it stretches the
-//!                tokens of a reading alone, not its fixed part ([`EngineState::prefill_seconds`])
-//! harm         = 0 to 1: how near the pauses between events come to the longest harmless one where prompts are read
-//!                beside an output, as seen ([`super::expectation::PrefillPauses`])
+//! factor        = current execution time at e relative to the pool ([`EngineState::work_factor`]); if paces are in use
+//!                 it applies to the time per prompt token only, not to the fixed part ([`EngineState::prefill_seconds`])
+//! harm          = 0 to 1: how close the observed event gaps of decoding requests come to the limit while their engine
+//!                 prefills ([`super::expectation::PrefillPauses`])
 //!
-//! slot at e    = seconds until e has a slot for one more request, where it names a rate limit ([`crate::rate_limit`])
+//! slot at e     = seconds until the rate limit of e admits one more request ([`crate::rate_limit`])
 //!
-//! risk of e    = 0 to 1: how likely e ends under a request, from what broke there of late ([`super::EngineState::risk`])
+//! risk of e     = 0 to 1: probability that e fails during a request ([`super::EngineState::risk`])
 //! ```
 //!
-//! Where `w.pause_seconds` is above zero, the pauses that a choice brings to streams are added to `output` and `both`:
-//! [`super::pauses`] has that part of the formula.
+//! If `w.pause_seconds` is above zero, the cost of expected event gaps is added to `decode` and `combined`; see
+//! [`super::pauses`].
 //!
-//! To the cost of an output and of both, `w.single_try_seconds * risk of e` is added where the request may run on one
-//! engine only. To the cost of a prompt, of an output and of both, `w.spread_seconds` times a fraction drawn for the
-//! request and the engine is added, and `slot at e`.
+//! `w.single_try_seconds * risk of e` is added to `decode` and `combined` if the request may run on one engine only.
+//! `slot at e` and `w.spread_seconds` times a pseudo-random fraction are added to `prefill`, `decode` and `combined`.
 
 use super::engine::{EngineLoad, EngineState};
 use super::pauses::PauseForecast;
@@ -53,40 +53,40 @@
 use crate::membership::subject::mix;
 use crate::time::MonotonicTime;
 
-/// What the cost of one request depends on beside the engine.
+/// Inputs of the cost that are the same for all engines of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct CostContext<'a> {
-    /// Weights.
+    /// Weights of the cost terms.
     pub weights: &'a PoolWeights,
-    /// What engines were seen to take.
+    /// Learned speeds of the pool.
     pub speeds: PoolSpeeds,
-    /// Seconds that moving the KV cache of one token takes; absent where engines can't fetch from one another.
+    /// Seconds to transfer the KV cache of one token; absent if the pool does not support transfers.
     pub move_seconds: Option<f64>,
-    /// Most tokens of the prompt that any engine holds.
+    /// Largest number of leading prompt tokens that any engine holds.
     pub max_held_tokens: u32,
-    /// Shortest time until an engine that reads prompts would begin with this one, in seconds; absent where there is
-    /// none, or nothing is chosen by it.
+    /// Shortest wait until a prefill engine would start with the prompt, in seconds; absent if there is none or if event
+    /// gaps are not part of the cost.
     pub min_prefill_wait: Option<f64>,
-    /// Seconds that the output takes at a usual engine; zero where engines aren't told apart by their pace.
+    /// Decode time at an average engine, in seconds; zero if paces are not in use.
     pub output_seconds: f64,
-    /// Number drawn for the request.
+    /// Random number of the request.
     pub draw: u64,
-    /// Now.
+    /// Time of the selection.
     pub now: MonotonicTime,
 }
 
-/// Where an output comes from.
+/// Where the prompt of a decode request is prefilled.
 #[derive(Clone, Copy, Debug)]
 pub struct PrefillSite<'a> {
-    /// Zone of the engine that reads the prompt.
+    /// Zone of the prefill engine.
     pub zone: &'a ZoneId,
-    /// Whether that zone alone keeps the shared part of the prompt, and may lose all of its engines at once. The engine
-    /// that runs the output keeps it too.
+    /// Whether only spot engines of this zone hold the shared prefix, so that a reclaim can remove every copy. The decode
+    /// engine gets another copy.
     pub is_sole_cache_zone: bool,
 }
 
 impl<'a> PrefillSite<'a> {
-    /// A zone of which nothing else matters.
+    /// A site for which the location of the shared prefix is ignored.
     pub fn in_zone(zone: &'a ZoneId) -> Self {
         Self {
             zone,
@@ -95,17 +95,17 @@
     }
 }
 
-/// How an engine comes by a prompt.
+/// How an engine obtains the KV cache of a prompt that it does not hold.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PrefillWork {
-    /// Tokens that it reads.
+    /// Tokens to prefill.
     pub computed: f64,
-    /// Tokens that it fetches from another engine.
+    /// Tokens to transfer from another engine.
     pub fetched: f64,
 }
 
 impl CostContext<'_> {
-    /// How an engine would come by the prompt.
+    /// Tokens that an engine would compute and fetch for the prompt.
     pub fn prefill_work(&self, state: &EngineState, query: &PoolQuery<'_>) -> PrefillWork {
         let tokens = query.prompt.map_or(0, |prompt| prompt.tokens);
         let held = state.prefixes.held_tokens(query.prefixes);
@@ -119,81 +119,82 @@
         }
     }
 
-    /// Cost of reading the prompt at an engine.
-    pub fn prompt(&self, state: &EngineState, query: &PoolQuery<'_>, is_home: bool) -> f64 {
-        let reading = self.prefill_work(state, query);
-        let work = state.load(self.now);
-        let ahead = work.prompt_tokens_ahead(query.rank);
-        let tokens = self.weights.wait * ahead + self.weights.compute * reading.computed;
-        let away = if is_home || self.max_held_tokens > 0 {
+    /// Cost of prefill at an engine.
+    pub fn prefill_cost(&self, state: &EngineState, query: &PoolQuery<'_>, is_home: bool) -> f64 {
+        let prefill = self.prefill_work(state, query);
+        let load = state.load(self.now);
+        let ahead = load.prompt_tokens_ahead(query.rank);
+        let tokens = self.weights.wait * ahead + self.weights.compute * prefill.computed;
+        let not_home = if is_home || self.max_held_tokens > 0 {
             0.0
         } else {
             self.weights.away_seconds
         };
         state.prefill_seconds(&self.speeds.prefill, tokens, self.now)
-            + self.fetch(&work, reading)
-            + away
-            + self.apart(&state.engine.zone, query.zone)
-            + self.slot(state)
-            + self.spread(state)
+            + self.fetch_cost(&load, prefill)
+            + not_home
+            + self.other_zone_cost(&state.engine.zone, query.zone)
+            + self.slot_wait_seconds(state)
+            + self.jitter(state)
     }
 
-    /// Cost of running the output at an engine, or the whole of a request that no model serves.
-    pub fn output(&self, state: &EngineState, source: PrefillSite<'_>, query: &PoolQuery<'_>) -> f64 {
+    /// Cost of decode at an engine, or of a whole request in a pool without a model.
+    pub fn decode_cost(&self, state: &EngineState, source: PrefillSite<'_>, query: &PoolQuery<'_>) -> f64 {
         let transfer = match (state.engine.zone == *source.zone, source.is_sole_cache_zone) {
             (true, true) => self.weights.lone_zone_seconds,
             (true, false) | (false, true) => 0.0,
             (false, false) => self.weights.transfer_zone_seconds,
         };
-        let work = state.load(self.now);
-        let prompts = work.all_prompt_tokens();
-        let held_up = if prompts > 0.0 {
+        let load = state.load(self.now);
+        let prompts = load.all_prompt_tokens();
+        let stall = if prompts > 0.0 {
             self.weights.held_up * state.prefill_seconds(&self.speeds.decode, prompts, self.now)
         } else {
             0.0
         };
-        state.work_factor(self.now) * (self.load(state, &work) + self.output_time())
-            + held_up
-            + self.arriving(&work)
+        state.work_factor(self.now) * (self.load_cost(state, &load) + self.decode_time_cost())
+            + stall
+            + self.incoming_transfer_cost(&load)
             + transfer
-            + self.risk(state, query)
-            + self.pauses(state, &work, query, None)
-            + self.slot(state)
-            + self.spread(state)
+            + self.risk_cost(state, query)
+            + self.event_gap_cost(state, &load, query, None)
+            + self.slot_wait_seconds(state)
+            + self.jitter(state)
     }
 
-    /// Cost of handing the KV cache of a prompt from the engine that read it to the one that runs the output.
-    pub fn hand_over(&self, query: &PoolQuery<'_>) -> f64 {
+    /// Cost of transferring the KV cache of the prompt from the prefill engine to the decode engine.
+    pub fn handoff_cost(&self, query: &PoolQuery<'_>) -> f64 {
         let tokens = f64::from(query.prompt.map_or(0, |prompt| prompt.tokens));
-        let moving = self.move_seconds.unwrap_or_default();
-        self.weights.handover_seconds + self.weights.transfer * tokens * moving
+        let seconds_per_token = self.move_seconds.unwrap_or_default();
+        self.weights.handover_seconds + self.weights.transfer * tokens * seconds_per_token
     }
 
-    /// Cost of reading the prompt and running the output at an engine that runs outputs.
-    pub fn both(&self, state: &EngineState, query: &PoolQuery<'_>) -> f64 {
-        let reading = self.prefill_work(state, query);
-        let work = state.load(self.now);
-        let tokens = work.prompt_tokens_ahead(query.rank) + reading.computed;
+    /// Cost of prefill and decode at the same decode engine.
+    pub fn combined_cost(&self, state: &EngineState, query: &PoolQuery<'_>) -> f64 {
+        let prefill = self.prefill_work(state, query);
+        let load = state.load(self.now);
+        let tokens = load.prompt_tokens_ahead(query.rank) + prefill.computed;
         let seconds = state.prefill_seconds(&self.speeds.decode, tokens, self.now);
         let harm = self.speeds.pauses.harm();
         let stall = self.weights.decode_reading_stall + self.weights.decode_reading_harm * harm;
-        let disturbance = 1.0 + stall * (1.0 + work.outputs);
-        state.work_factor(self.now) * (self.load(state, &work) + self.output_time())
-            + self.fetch(&work, reading)
+        let disturbance = 1.0 + stall * (1.0 + load.outputs);
+        state.work_factor(self.now) * (self.load_cost(state, &load) + self.decode_time_cost())
+            + self.fetch_cost(&load, prefill)
             + seconds * disturbance
-            + self.risk(state, query)
-            + self.pauses(state, &work, query, Some(reading.computed))
-            + self.slot(state)
-            + self.spread(state)
+            + self.risk_cost(state, query)
+            + self.event_gap_cost(state, &load, query, Some(prefill.computed))
+            + self.slot_wait_seconds(state)
+            + self.jitter(state)
     }
 
-    /// Cost of the pauses that an output brings, where the engine reads so many tokens of its prompt itself.
-    fn pauses(
+    /// Cost of the event gaps that the request would cause and suffer. `prefill_tokens` are the tokens of its prompt that
+    /// the engine computes; absent if another engine prefills it.
+    fn event_gap_cost(
         &self,
         state: &EngineState,
-        work: &EngineLoad,
+        load: &EngineLoad,
         query: &PoolQuery<'_>,
-        reads: Option<f64>,
+        prefill_tokens: Option<f64>,
     ) -> f64 {
         if self.weights.pause_seconds == 0.0 {
             return 0.0;
@@ -204,17 +205,17 @@
             work_factor: state.work_factor(self.now),
             recent_prefill_tokens: state.recent_prefill.tokens(self.now),
         };
-        let (computed, beside) = match reads {
-            Some(computed) => (computed, work.prompt_tokens_behind(query.rank)),
-            None => (0.0, work.all_prompt_tokens()),
+        let (computed, other_tokens) = match prefill_tokens {
+            Some(computed) => (computed, load.prompt_tokens_behind(query.rank)),
+            None => (0.0, load.all_prompt_tokens()),
         };
-        let made_late = forecast.added_late_streams(work, computed, self.min_prefill_wait);
-        let late = made_late + forecast.own_late_probability(beside, query.constraints.max_event_gap);
+        let added_late = forecast.added_late_streams(load, computed, self.min_prefill_wait);
+        let late = added_late + forecast.own_late_probability(other_tokens, query.constraints.max_event_gap);
         self.weights.pause_seconds * late
     }
 
-    /// Cost of the risk that the engine ends under a request that may run on no other.
-    fn risk(&self, state: &EngineState, query: &PoolQuery<'_>) -> f64 {
+    /// Cost of a possible engine failure, for requests that may run on one engine only.
+    fn risk_cost(&self, state: &EngineState, query: &PoolQuery<'_>) -> f64 {
         if query.constraints.single_try {
             self.weights.single_try_seconds * state.risk(self.now)
         } else {
@@ -222,44 +223,45 @@
         }
     }
 
-    /// Worth of the time that the output itself takes: without it an idle engine costs nothing, however slow it is.
-    fn output_time(&self) -> f64 {
+    /// Cost of the decode time. Without it all idle engines would cost the same, whatever their speed.
+    fn decode_time_cost(&self) -> f64 {
         self.weights.output_time * self.output_seconds
     }
 
-    /// The wait that an engine's rate limit costs.
-    fn slot(&self, state: &EngineState) -> f64 {
+    /// Seconds until the engine's rate limit admits the request.
+    fn slot_wait_seconds(&self, state: &EngineState) -> f64 {
         state.slot_wait(self.now).as_secs_f64()
     }
 
-    fn spread(&self, state: &EngineState) -> f64 {
-        let drawn = mix(self.draw ^ state.handle.number());
-        self.weights.spread_seconds * (drawn as f64 / u64::MAX as f64)
+    /// Pseudo-random addition that distributes simultaneous selections over engines of equal cost.
+    fn jitter(&self, state: &EngineState) -> f64 {
+        let random = mix(self.draw ^ state.handle.number());
+        self.weights.spread_seconds * (random as f64 / u64::MAX as f64)
     }
 
-    fn fetch(&self, work: &EngineLoad, reading: PrefillWork) -> f64 {
-        if reading.fetched == 0.0 {
+    fn fetch_cost(&self, load: &EngineLoad, prefill: PrefillWork) -> f64 {
+        if prefill.fetched == 0.0 {
             return 0.0;
         }
-        self.weights.fetch * reading.fetched * self.move_seconds.unwrap_or_default() + self.arriving(work)
+        self.weights.fetch * prefill.fetched * self.move_seconds.unwrap_or_default() + self.incoming_transfer_cost(load)
     }
 
-    /// An engine takes one KV cache after the other over its link.
-    fn arriving(&self, work: &EngineLoad) -> f64 {
-        self.weights.arriving * work.moving_tokens * self.move_seconds.unwrap_or_default()
+    /// Wait for the KV cache transfers in progress; an engine receives them one after another.
+    fn incoming_transfer_cost(&self, load: &EngineLoad) -> f64 {
+        self.weights.arriving * load.moving_tokens * self.move_seconds.unwrap_or_default()
     }
 
-    fn load(&self, state: &EngineState, work: &EngineLoad) -> f64 {
-        let places = f64::from(state.engine.places.max(1));
-        let taken = (work.requests + 1.0) / places;
-        let memory = work.memory_tokens / state.prefixes.capacity_tokens().max(1.0);
-        let beyond = (work.requests + 1.0 - places).max(0.0);
-        self.weights.places_seconds * taken * taken
+    fn load_cost(&self, state: &EngineState, load: &EngineLoad) -> f64 {
+        let slots = f64::from(state.engine.places.max(1));
+        let used = (load.requests + 1.0) / slots;
+        let memory = load.memory_tokens / state.prefixes.capacity_tokens().max(1.0);
+        let excess = (load.requests + 1.0 - slots).max(0.0);
+        self.weights.places_seconds * used * used
             + self.weights.memory_seconds * memory * memory
-            + self.weights.overflow_seconds * beyond
+            + self.weights.overflow_seconds * excess
     }
 
-    fn apart(&self, zone: &ZoneId, own: &ZoneId) -> f64 {
+    fn other_zone_cost(&self, zone: &ZoneId, own: &ZoneId) -> f64 {
         if zone == own {
             0.0
         } else {
@@ -268,7 +270,7 @@
     }
 }
 
-/// The prefixes that other requests may share: all but the last.
+/// The blocks that other requests may share: all but the last.
 pub fn shared_prefixes(prefixes: &[PrefixBlock]) -> &[PrefixBlock] {
     &prefixes[..prefixes.len().saturating_sub(1)]
 }
