--- a/crates/core/src/routing/pool/admission.rs
+++ b/crates/core/src/routing/pool/admission.rs
@@ -333,7 +333,7 @@
         settings: &PoolAdmission,
         now: MonotonicTime,
     ) -> Option<Charge> {
-        let default_speeds = self.assumed_speeds();
+        let default_speeds = self.default_speeds();
         let speeds = self.speeds.entry(query.pool.clone()).or_insert(default_speeds);
         let is_late_or_refused = decision.admission != Admission::InTime;
         speeds
@@ -370,7 +370,7 @@
 
     /// Records the estimated and the actual time until the first event of a request admitted in time.
     pub fn on_first_event(&mut self, query: &PoolQuery<'_>, expected: Duration, took: Duration) {
-        let default_speeds = self.assumed_speeds();
+        let default_speeds = self.default_speeds();
         let speeds = self.speeds.entry(query.pool.clone()).or_insert(default_speeds);
         speeds.estimate_error.observe(expected, took);
     }
--- a/crates/core/src/routing/pool/dispatches.rs
+++ b/crates/core/src/routing/pool/dispatches.rs
@@ -145,7 +145,7 @@
             self.observe_prefill(&ticket.engine, &before, |speeds| &mut speeds.decode, now);
         } else if before.kv_source == Some(KvCacheSource::Transfer) {
             let pool = state.engine.pool.clone();
-            let assumed = self.assumed_speeds();
+            let assumed = self.default_speeds();
             let speeds = self.speeds.entry(pool).or_insert(assumed);
             if before.rank != LATE_RANK {
                 speeds.observe_handoff(now.since(before.sent_at), before.had_free_slot);
@@ -155,7 +155,7 @@
 
     /// Records the gap between two events of an output, as a fraction of the maximum tolerated gap.
     pub fn on_pause(&mut self, ticket: &PoolTicket, fraction: f64, now: MonotonicTime) {
-        let assumed = self.assumed_speeds();
+        let assumed = self.default_speeds();
         let Some(state) = self.engines.get(&ticket.engine) else {
             return;
         };
@@ -240,7 +240,7 @@
         speed_of: fn(&mut PoolSpeeds) -> &mut PrefillSpeed,
         now: MonotonicTime,
     ) {
-        let assumed = self.assumed_speeds();
+        let assumed = self.default_speeds();
         let Some(state) = self.engines.get_mut(engine) else {
             return;
         };
--- a/crates/core/src/routing/pool/mod.rs
+++ b/crates/core/src/routing/pool/mod.rs
@@ -1,11 +1,11 @@
-//! Choice of engines for forwarded requests.
+//! Selection of engines for forwarded requests.
 //!
-//! Unlike [`super::router::KvRouter`], which compares engines by load reports in tokens, [`PoolRouter`] has to do with
-//! engines whose reports are dear: it counts what this node sent and has not ended, adds what other nodes say of
-//! themselves, and believes that an engine holds the prompt parts that were read there. Where nobody knows who holds
-//! a shared part, rendezvous hashing names its home, so that nodes agree without a message.
+//! Unlike [`super::router::KvRouter`], which compares engines by their load reports, [`PoolRouter`] estimates load from the
+//! requests in flight at this node and from the reports of peers. It assumes that an engine holds the prompt prefixes that
+//! were prefilled there. A shared prefix that no engine is known to hold is assigned by rendezvous hashing, so that nodes
+//! agree without communication.
 //!
-//! [`cost`] documents the formula.
+//! [`cost`] documents the cost formula.
 
 mod admission;
 mod choice;
--- a/crates/core/src/routing/pool/peer_reports.rs
+++ b/crates/core/src/routing/pool/peer_reports.rs
@@ -1,110 +1,112 @@
-//! What other nodes say of their work.
+//! Contents of the reports that nodes exchange about engines.
 
 use super::query::PrefixBlock;
 use crate::identity::ZoneId;
 use crate::membership::subject::SubjectHandle;
 use serde::{Deserialize, Serialize};
 
-/// Ranks that are told apart in the work at an engine; the last is for what can't be in time.
+/// Number of scheduling ranks for which the load of an engine is counted separately. The last is for requests that
+/// can't meet their deadline.
 pub const RANK_COUNT: usize = 4;
 
-/// The rank under which the work of a request that can be in time is counted; zero goes first, all lesser ones count as
-/// the last of them.
+/// Scheduling rank of a request that can meet its deadline; zero is served first. Low priorities share the last such
+/// rank.
 pub fn rank_for_priority(priority: u8) -> usize {
     usize::from(priority).min(RANK_COUNT - 2)
 }
 
-/// Work of another node at one engine.
+/// Load of a peer at one engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerLoad {
-    /// Prompt tokens to read, by rank.
+    /// Prompt tokens that wait for prefill, by rank.
     pub prompt_tokens: [u32; RANK_COUNT],
-    /// Requests.
+    /// Number of requests in flight.
     pub requests: u32,
-    /// Tokens of KV cache that the requests hold or will hold.
+    /// KV cache tokens that the requests hold or will hold.
     pub memory_tokens: u32,
-    /// Tokens of KV cache that are on their way there.
+    /// KV cache tokens in transfer to the engine.
     pub moving_tokens: u32,
-    /// Requests of which no prompt is left to read.
+    /// Number of requests whose prefill is complete.
     pub outputs: u32,
-    /// Tokens of KV cache of those requests.
+    /// KV cache tokens of the requests whose prefill is complete.
     pub output_tokens: u32,
-    /// Those of them whose route names the longest harmless pause, and that have kept to it so far.
+    /// Number of decoding requests that have an event gap limit and have not exceeded it.
     pub streams: u32,
-    /// Shortest of the longest harmless pauses of those streams, in milliseconds.
+    /// Smallest event gap limit of those streams, in milliseconds; zero if there is none.
     pub min_event_gap_limit_millis: u32,
 }
 
-/// What the number of a slice without engines says; each says what the lower ones do as well.
+/// Capability levels that an empty slice carries in its index; each includes the lower ones. At this level the sender
+/// accepts sparse reports.
 const SPARSE_REPORTS_LEVEL: u16 = 1;
-/// The sender speaks of engines' rate limits, and keeps to them.
+/// Level at which the sender exchanges and respects engines' rate limits.
 const RATE_LIMITS_LEVEL: u16 = 2;
 
-/// The engines that one message about work is about: of `of` equal parts the one numbered `index`.
+/// The engines that one load report covers: slice `index` of `slice_count` slices of equal size.
 ///
-/// What a message says of its slice replaces what its sender said of it before, so that a lost message is made good by
-/// the next one about the same engines.
+/// A report replaces everything that its sender reported for the same slice before, so the next report about a slice
+/// repairs the loss of an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct PeerLoadSlice {
-    /// Number of the part, from zero.
+    /// Index of the slice, from zero.
     pub index: u16,
-    /// Parts.
+    /// Number of slices; zero for the empty slice.
     pub slice_count: u16,
 }
 
 impl PeerLoadSlice {
-    /// All engines.
+    /// Covers all engines.
     pub const ALL: Self = Self {
         index: 0,
         slice_count: 1,
     };
 
-    /// No engine. The number of the part, which means nothing here, says that the sender takes sparse words from far
-    /// placers, and speaks of rate limits: builds that don't know it pass it over.
+    /// Covers no engine. The otherwise unused index carries the sender's capability level; builds that don't know it
+    /// ignore it.
     pub const EMPTY: Self = Self {
         index: RATE_LIMITS_LEVEL,
         slice_count: 0,
     };
 
-    /// Whether the slice is about no engine.
+    /// Whether the slice covers no engine.
     pub fn is_empty(self) -> bool {
         self.slice_count == 0
     }
 
-    /// Whether the sender takes sparse words from far placers.
+    /// Whether the sender accepts sparse reports from placers that are not its primary contact.
     pub fn accepts_sparse_reports(self) -> bool {
         self.slice_count == 0 && self.index >= SPARSE_REPORTS_LEVEL
     }
 
-    /// Whether the sender speaks of engines' rate limits.
+    /// Whether the sender exchanges engines' rate limits.
     pub fn reports_rate_limits(self) -> bool {
         self.slice_count == 0 && self.index >= RATE_LIMITS_LEVEL
     }
 
-    /// Whether the slice is about an engine.
+    /// Whether the slice covers an engine.
     pub fn includes(self, engine: SubjectHandle) -> bool {
         self.slice_count > 0 && engine.number() % u64::from(self.slice_count) == u64::from(self.index)
     }
 }
 
-/// Prefixes that an engine has come to hold.
+/// Prefix blocks that an engine has added to its KV cache.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrefixUpdate {
-    /// The engine.
+    /// Handle of the engine.
     pub engine: SubjectHandle,
-    /// The prefixes, shortest first.
+    /// The blocks in prompt order.
     pub prefixes: Vec<PrefixBlock>,
-    /// Whether the engine has just answered, so that it lives.
+    /// Whether the engine has just answered a request, which shows that it is alive.
     pub just_answered: bool,
 }
 
-/// An engine that said nothing for too long to a node, as a placer tells others.
+/// Report of a placer that an engine did not answer a node in time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SilenceReport {
-    /// The engine.
+    /// Handle of the engine.
     pub engine: SubjectHandle,
-    /// Zone of the node.
+    /// Zone of the node that sent the request.
     pub from: ZoneId,
-    /// Milliseconds since the node's request was sent there.
+    /// Time since the request was sent to the engine, in milliseconds.
     pub sent_before_millis: u32,
 }
--- a/crates/core/src/routing/pool/prefix_cache.rs
+++ b/crates/core/src/routing/pool/prefix_cache.rs
@@ -1,43 +1,43 @@
-//! Prompt prefixes that an engine is believed to hold, least recently used first out.
+//! Estimate of the prefix blocks in an engine's KV cache, with eviction of the least recently used.
 
 use super::query::PrefixBlock;
 use crate::time::MonotonicTime;
 use std::collections::{BTreeMap, HashMap};
 
-/// Part of an engine's memory that is believed to be left for prefixes beside running requests.
+/// Share of an engine's KV cache that is available for prefix blocks while requests run.
 const PREFIX_CACHE_SHARE: f64 = 0.85;
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct HeldBlock {
     tokens: u32,
-    used: (MonotonicTime, u64),
+    last_use: (MonotonicTime, u64),
 }
 
-/// Bounded by the engine's memory, so that it never grows without end.
+/// Prefix blocks that an engine is estimated to hold, limited to its KV cache capacity.
 #[derive(Clone, Debug)]
 pub struct PrefixCacheEstimate {
     capacity: u64,
     tokens: u64,
-    uses: u64,
-    held: HashMap<u64, Held>,
+    use_count: u64,
+    held: HashMap<u64, HeldBlock>,
     by_use: BTreeMap<(MonotonicTime, u64), u64>,
 }
 
 impl PrefixCacheEstimate {
-    /// Nothing is held yet; `cache_tokens` fit into the engine's memory.
+    /// An empty estimate for an engine whose KV cache holds `cache_tokens` tokens.
     pub fn new(cache_tokens: u64) -> Self {
         Self {
             capacity: (cache_tokens as f64 * PREFIX_CACHE_SHARE) as u64,
             tokens: 0,
-            uses: 0,
+            use_count: 0,
             held: HashMap::new(),
             by_use: BTreeMap::new(),
         }
     }
 
-    /// Notes that a prompt with these prefixes was read.
+    /// Records that the engine prefilled a prompt with these blocks.
     pub fn record_prefill(&mut self, prefixes: &[PrefixBlock], now: MonotonicTime) {
-        // Longer prefixes give way before the shorter ones that they need.
+        // Touched in reverse order, so that a block is evicted before the preceding blocks that it depends on.
         for block in prefixes.iter().rev() {
             self.touch(block, now);
         }
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Tokens of the prompt that are held, counted from its beginning.
+    /// Number of leading prompt tokens that are held.
     pub fn held_tokens(&self, prefixes: &[PrefixBlock]) -> u32 {
         prefixes
             .iter()
@@ -60,23 +60,23 @@
             .sum()
     }
 
-    /// When the longest held prefix of the prompt was last used; absent where nothing is held.
+    /// Last use of the longest held prefix of the prompt; absent if none is held.
     pub fn last_use(&self, prefixes: &[PrefixBlock]) -> Option<MonotonicTime> {
         let held = prefixes.iter().map_while(|block| self.held.get(&block.hash));
-        held.last().map(|held| held.used.0)
+        held.last().map(|held| held.last_use.0)
     }
 
-    /// When anything that is held was last used; absent where nothing is.
+    /// Most recent use of any held block; absent if none is held.
     pub fn latest_use(&self) -> Option<MonotonicTime> {
         self.by_use.last_key_value().map(|((at, _), _)| *at)
     }
 
-    /// Tokens that fit beside running requests.
+    /// Capacity for prefix blocks, in tokens.
     pub fn capacity_tokens(&self) -> f64 {
         self.capacity as f64
     }
 
-    /// Everything that is believed to be held, least recently used first.
+    /// All held blocks, least recently used first.
     pub fn blocks(&self) -> Vec<PrefixBlock> {
         self.by_use
             .values()
@@ -90,36 +90,36 @@
             .collect()
     }
 
-    /// Forgets everything.
+    /// Removes all blocks, for an engine that has lost its KV cache.
     pub fn clear(&mut self) {
         self.tokens = 0;
         self.held.clear();
         self.by_use.clear();
     }
 
-    /// Number of prefixes believed to be held.
+    /// Number of held blocks.
     pub fn len(&self) -> usize {
         self.held.len()
     }
 
-    /// Whether nothing is believed to be held.
+    /// Whether no block is held.
     pub fn is_empty(&self) -> bool {
         self.held.is_empty()
     }
 
     fn touch(&mut self, block: &PrefixBlock, now: MonotonicTime) {
-        self.uses += 1;
-        let used = (now, self.uses);
-        let held = Held {
+        self.use_count += 1;
+        let last_use = (now, self.use_count);
+        let held = HeldBlock {
             tokens: block.tokens,
-            used,
+            last_use,
         };
         match self.held.insert(block.hash, held) {
-            Some(before) => {
-                self.by_use.remove(&before.used);
+            Some(previous) => {
+                self.by_use.remove(&previous.last_use);
             }
             None => self.tokens += u64::from(block.tokens),
         }
-        self.by_use.insert(used, block.hash);
+        self.by_use.insert(last_use, block.hash);
     }
 }
--- a/crates/core/src/routing/pool/query.rs
+++ b/crates/core/src/routing/pool/query.rs
@@ -1,4 +1,4 @@
-//! What the router is asked.
+//! Queries to the pool router.
 
 use crate::forwarding::PoolId;
 use crate::identity::{EngineId, ZoneId};
@@ -6,41 +6,41 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// One part of a prompt as the caller declares it; the same name stands for the same tokens.
+/// One part of a prompt as declared by the caller; parts with the same name contain the same tokens.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptPart {
-    /// Number of the part's name.
+    /// Numeric form of the part's name.
     pub name: u64,
-    /// Tokens.
+    /// Length of the part in tokens.
     pub tokens: u32,
 }
 
-/// A declared prompt.
+/// A prompt as declared by the caller.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptShape {
-    /// Model that reads it.
+    /// Model that processes the prompt.
     pub model: String,
-    /// Parts in order; the last is the request's own or its session's.
+    /// Parts in order; the last is specific to the request or its session.
     pub parts: Vec<PromptPart>,
-    /// Tokens in all.
+    /// Length of the prompt in tokens.
     pub tokens: u32,
-    /// Most output tokens.
+    /// Maximum number of output tokens.
     pub output_tokens: u32,
-    /// The caller's estimate of the output tokens, where it gives one.
+    /// The caller's estimate of the number of output tokens; absent if it gave none.
     pub output_estimate: Option<u32>,
 }
 
-/// One part of a prompt as engines keep it: it counts as held only where every part before it is held too.
+/// One block of a prompt in the KV cache of an engine. It is usable only if the engine holds all preceding blocks too.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrefixBlock {
-    /// Hash of the model's and the part's name.
+    /// Hash of the model's name and the part's name.
     pub hash: u64,
-    /// Tokens.
+    /// Length of the block in tokens.
     pub tokens: u32,
 }
 
 impl PrefixBlock {
-    /// The block of one part for one model.
+    /// The block for one part of a prompt to the given model.
     pub fn of(model: &str, part: &PromptPart) -> Self {
         Self {
             hash: mix(model_hash(model) ^ part.name),
@@ -54,18 +54,18 @@
 }
 
 impl PromptShape {
-    /// Tokens of KV cache that the request is expected to hold at its end.
+    /// Expected size of the request's KV cache at its end, in tokens.
     pub fn memory_tokens(&self) -> u32 {
         self.tokens.saturating_add(self.expected_output_tokens())
     }
 
-    /// Output tokens that are expected.
+    /// Expected number of output tokens: the caller's estimate, or the maximum if it gave none.
     pub fn expected_output_tokens(&self) -> u32 {
         let output = self.output_estimate.unwrap_or(self.output_tokens);
         output.min(self.output_tokens)
     }
 
-    /// The prompt's blocks in order.
+    /// Blocks of the prompt in order.
     pub fn prefixes(&self) -> Vec<PrefixBlock> {
         self.parts
             .iter()
@@ -74,46 +74,46 @@
     }
 }
 
-/// What a request is owed beside its answer, as far as it decides where it goes.
+/// Constraints of a request that affect the selection of engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestConstraints {
-    /// The tenant whose request it is; absent where callers need no key.
+    /// Tenant that sent the request; absent if callers need no key.
     pub tenant: Option<SubjectHandle>,
-    /// Longest pause between two events of its answer that is harmless; absent where the route names none.
+    /// Longest acceptable gap between two events of the answer; absent if the route sets no limit.
     pub max_event_gap: Option<Duration>,
-    /// Whether it may run on one engine only: one that ends under it can't be made good.
+    /// Whether the request may run on one engine only, so that it is lost if that engine fails.
     pub single_try: bool,
-    /// Rank of its kind among the routes of its pool; zero is the most urgent.
+    /// Priority of the request's kind among the routes of its pool; zero is the most urgent.
     pub kind_rank: u8,
 }
 
-/// One request that needs an engine.
+/// One request that needs an engine, with the limits for the selection.
 #[derive(Clone, Debug)]
 pub struct PoolQuery<'a> {
-    /// Pool that serves it.
+    /// Pool that serves the request.
     pub pool: &'a PoolId,
-    /// Its prompt; absent where the pool's engines run no model.
+    /// Prompt of the request; absent if the pool has no model.
     pub prompt: Option<&'a PromptShape>,
-    /// Prefixes of the prompt, from [`PromptShape::prefixes`].
+    /// Blocks of the prompt, from [`PromptShape::prefixes`].
     pub prefixes: &'a [PrefixBlock],
-    /// Zone of this node.
+    /// Zone of the node that sends the request.
     pub zone: &'a ZoneId,
-    /// Whether this node sends it, so that it does not go to engines that asked this node to back off. Another node, for which
-    /// this one only chooses, leaves out those that asked it.
+    /// Whether this node sends the request and must respect the backoff that engines requested from it. If the request
+    /// belongs to a peer, the peer excludes the engines that requested backoff from it.
     pub from_this_node: bool,
-    /// Engines that failed this request before.
+    /// Engines that already failed this request.
     pub excluded: &'a [EngineId],
-    /// Whether nothing else is left, so that engines may be chosen that are left alone for a while: paused, cordoned without
-    /// force, beyond a suspected path, or with load that returns step by step.
+    /// Whether temporarily avoided engines are allowed because no other is available: engines in backoff or slow start,
+    /// cordoned without force, or behind a suspected path.
     pub last_resort: bool,
-    /// What it is owed.
+    /// Constraints of the request.
     pub constraints: RequestConstraints,
-    /// Rank among requests, from [`super::rank_for_priority`].
+    /// Scheduling rank, from [`super::rank_for_priority`].
     pub rank: usize,
-    /// Time left.
+    /// Time until the deadline.
     pub remaining: Duration,
-    /// Longest wait for a slot at an engine that names a rate limit, from [`crate::rate_limit::max_wait`].
+    /// Longest wait for a slot at an engine with a rate limit, from [`crate::rate_limit::max_wait`].
     pub slot_max_wait: Duration,
-    /// Number drawn for the request; spreads requests that different nodes choose for at the same moment.
+    /// Random number of the request; distributes the selections that nodes make at the same time.
     pub draw: u64,
 }
--- a/crates/core/src/routing/pool/reachability.rs
+++ b/crates/core/src/routing/pool/reachability.rs
@@ -1,4 +1,4 @@
-//! Which engines a request reaches over the paths between zones.
+//! Selection limits that follow from the state of the network paths between zones.
 
 use super::engine::{EngineStage, EngineState};
 use super::query::PoolQuery;
@@ -7,13 +7,13 @@
 use crate::time::MonotonicTime;
 
 impl PoolRouter {
-    /// Whether the request may go to a zone; anywhere where nothing else is left.
+    /// Whether the request may be sent to a zone; always true as a last resort.
     pub(super) fn reaches(&self, query: &PoolQuery<'_>, zone: &ZoneId, now: MonotonicTime) -> bool {
         let may_be_trial = !query.constraints.single_try;
         query.last_resort || self.paths.admits(query.zone, zone, query.draw, may_be_trial, now)
     }
 
-    /// Engines that may run the output of a prompt that is read in a zone.
+    /// Candidates for decode that can receive the KV cache of a prompt prefilled in the `source` zone.
     pub(super) fn output_candidates<'a>(
         &'a self,
         query: &'a PoolQuery<'_>,
--- a/crates/core/src/routing/pool/risk.rs
+++ b/crates/core/src/routing/pool/risk.rs
@@ -1,66 +1,65 @@
-//! How likely an engine ends under a request, for requests that may run on one engine only.
+//! Estimated probability that an engine fails during a request.
 //!
-//! What breaks once tends to break again: a process that loses answers, a host in trouble, a network card that resets
-//! connections. For what may be repeated the pause after a break is enough; what may not is lost with its engine.
+//! Engines that failed recently are more likely to fail again. Requests that can be retried rely on the backoff after a
+//! failure; requests that may run on one engine only also avoid engines with a high risk.
 
 use super::engine::EngineState;
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// Share of a break in the share of dispatches that broke: two in a row make it more likely than not.
+/// Weight of one failure in the moving average of the failure rate; two in a row raise it above one half.
 const FAILURE_WEIGHT: f64 = 0.3;
 
-/// Share of an answer in it: as many answers as an engine gives in a second outweigh one break.
+/// Weight of one success in the moving average.
 const SUCCESS_WEIGHT: f64 = 0.1;
 
-/// Time after which half of a share is forgotten, so that an engine that nobody uses for it is tried again.
+/// Half-life of the failure rate, so that an engine without requests is eventually used again.
 const HALF_LIFE: Duration = Duration::from_secs(10);
 
-/// Risk of a spot engine whose zone takes spot engines back, though it is not listed as leaving: the platform has taken
-/// some of a zone's and may take the rest.
+/// Risk of a spot engine that is not leaving while the platform reclaims other spot engines of its zone.
 const RECLAIM_RISK: f64 = 0.2;
 
-/// Time for which it is one.
+/// Time after the last observed reclaim in the zone for which [`RECLAIM_RISK`] applies.
 const RECLAIM_RISK_DURATION: Duration = Duration::from_secs(10);
 
-/// Share of an engine's dispatches that broke of late.
+/// Moving average of the share of an engine's dispatches that failed recently.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FailureRate {
-    share: f64,
-    broke_at: MonotonicTime,
+    rate: f64,
+    last_failure_at: MonotonicTime,
 }
 
 impl FailureRate {
-    /// A connection broke or fell silent.
+    /// Records a dispatch whose connection failed or became unresponsive.
     pub fn record_failure(&mut self, now: MonotonicTime) {
-        let share = self.at(now);
-        self.share = share + FAILURE_WEIGHT * (1.0 - share);
-        self.broke_at = now;
+        let rate = self.at(now);
+        self.rate = rate + FAILURE_WEIGHT * (1.0 - rate);
+        self.last_failure_at = now;
     }
 
-    /// A dispatch was answered.
+    /// Records an answered dispatch.
     pub fn record_success(&mut self) {
-        self.share -= SUCCESS_WEIGHT * self.share;
+        self.rate -= SUCCESS_WEIGHT * self.rate;
     }
 
-    /// The share, from zero to one.
+    /// The failure rate at a time, from zero to one.
     pub fn at(&self, now: MonotonicTime) -> f64 {
-        let age = now.since(self.broke_at).as_secs_f64() / HALF_LIFE.as_secs_f64();
-        self.share * 0.5_f64.powf(age)
+        let age = now.since(self.last_failure_at).as_secs_f64() / HALF_LIFE.as_secs_f64();
+        self.rate * 0.5_f64.powf(age)
     }
 }
 
 impl EngineState {
-    /// How likely the engine ends under a request, from zero to one.
+    /// Estimated probability that the engine fails during a request, from zero to one.
     pub fn risk(&self, now: MonotonicTime) -> f64 {
-        let taken_back = self
+        let is_reclaim_recent = self
             .reclaim_seen_at
             .is_some_and(|at| now.since(at) < RECLAIM_RISK_DURATION);
-        let listed = if taken_back && self.engine.spot {
+        let reclaim_risk = if is_reclaim_recent && self.engine.spot {
             RECLAIM_RISK
         } else {
             0.0
         };
-        self.breaks.at(now).max(listed)
+        self.breaks.at(now).max(reclaim_risk)
     }
 }
--- a/crates/core/src/routing/pool/router.rs
+++ b/crates/core/src/routing/pool/router.rs
@@ -1,4 +1,4 @@
-//! The router and what it knows of each engine.
+//! The pool router and the engines that it knows.
 
 use super::cordons::ActiveCordon;
 use super::engine::{DELISTED_RETENTION, Delisted, EngineStage, EngineState, PoolEngine, ReportedLoad};
@@ -19,51 +19,51 @@
 use crate::time::MonotonicTime;
 use std::collections::{BTreeMap, HashMap};
 
-/// Memory assumed of an engine whose pool does not tell, in tokens.
+/// KV cache capacity of an engine whose pool configures none, in tokens.
 const DEFAULT_CACHE_TOKENS: u64 = 400_000;
 
-/// Chooses engines for forwarded requests; holds no socket, thread or clock.
+/// Selects engines for forwarded requests. Does no I/O; callers pass the current time.
 #[derive(Clone, Debug)]
 pub struct PoolRouter {
     pub(super) weights: PoolWeights,
     pub(super) engines: BTreeMap<EngineId, EngineState>,
-    pub(super) engine_of: HashMap<SubjectHandle, EngineId>,
-    /// Engines at which each other node last told of work.
+    pub(super) engine_ids: HashMap<SubjectHandle, EngineId>,
+    /// Engines for which each peer last reported load.
     pub(super) engines_reported_by: BTreeMap<NodeId, Vec<SubjectHandle>>,
     pub(super) speeds: BTreeMap<PoolId, PoolSpeeds>,
     pub(super) paces: BTreeMap<PoolId, PoolPace>,
     pub(super) traits: BTreeMap<PoolId, ModelTraits>,
     pub(super) prefix_updates: Vec<PrefixUpdate>,
-    /// Whether what is sent from one zone reaches engines in another.
+    /// State of the network paths between zones.
     pub(super) paths: Paths,
     pub(super) pending_silences: Vec<PendingSilence>,
     pub(super) availability_changes: Vec<EngineAvailabilityChange>,
-    /// Engines whose momentary figure others are to be told.
+    /// Engines whose momentary pace has not been sent to peers yet.
     pub(super) unsent_paces: Vec<SubjectHandle>,
-    /// The last engine whose lasting speed others were told.
+    /// Last engine whose lasting pace was sent to peers.
     pub(super) lasting_pace_cursor: Option<EngineId>,
-    /// Changes of lasting speeds that are to be reported.
+    /// Changes of lasting paces that have not been taken yet.
     pub(super) pace_changes: Vec<PaceChange>,
     pub(super) demand: PromptDemand,
-    /// Requests that this node sent, by pool and stage.
+    /// Rate of requests sent by this node, by pool and stage.
     pub(super) sent_rates: BTreeMap<(PoolId, EngineStage), SentRate>,
     pub(super) last_ticket_number: u64,
-    /// Cordons in force.
+    /// Active cordons.
     pub(super) cordons: Vec<ActiveCordon>,
     pub(super) sharing: UseLedger,
-    /// What engines said of themselves in their answers.
+    /// Signals that engines sent in their answers.
     pub(super) signals: SignalRegister,
-    /// Which of the listed engines are in use.
+    /// Listed engines that are in use.
     pub(super) working_set: WorkingSet,
 }
 
 impl PoolRouter {
-    /// A router that knows no engine yet.
+    /// Creates a router without engines.
     pub fn new(weights: PoolWeights) -> Self {
         Self {
             weights,
             engines: BTreeMap::new(),
-            engine_of: HashMap::new(),
+            engine_ids: HashMap::new(),
             engines_reported_by: BTreeMap::new(),
             speeds: BTreeMap::new(),
             paces: BTreeMap::new(),
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Takes what a configuration tells of the pools.
+    /// Applies the pool settings of a configuration.
     pub fn on_config(&mut self, config: &ForwardingConfig) {
         let paid = config.pools.iter().filter(|pool| pool.scaling.is_some());
         self.working_set.billed_pools = paid.map(|pool| pool.id.clone()).collect();
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Takes an engine into use, or its new listing where it is in use.
+    /// Adds an engine, or updates it from its new listing.
     pub(super) fn upsert_engine(&mut self, engine: PoolEngine) {
         let id = engine.id.clone();
         match self.engines.get_mut(&id) {
@@ -107,16 +107,16 @@
                 let mut state = EngineState::new(engine, tokens);
                 state.backoff_end = self.signals.backoff_end(state.handle);
                 self.init_pace(&mut state);
-                self.engine_of.insert(state.handle, id.clone());
+                self.engine_ids.insert(state.handle, id.clone());
                 self.engines.insert(id.clone(), state);
             }
         }
         self.note_cordon(&id);
     }
 
-    /// Notes that the platform lists an engine no longer; `doubtful` where the store was in trouble just before, so
-    /// that the engine may live and only its entry have lapsed.
-    pub fn on_engine_gone(&mut self, engine: &EngineId, doubtful: bool, now: MonotonicTime) {
+    /// Handles the removal of an engine from the platform's list. `doubtful` means that the store has just had problems,
+    /// so the engine may be alive and only have failed to renew its entry.
+    pub fn on_engine_delisted(&mut self, engine: &EngineId, doubtful: bool, now: MonotonicTime) {
         if let Some(state) = self.engines.get_mut(engine) {
             state.delisted = Some(Delisted { since: now, doubtful });
         }
@@ -126,12 +126,11 @@
                 .is_none_or(|removal| now.since(removal.since) < DELISTED_RETENTION)
         });
         let engines = &self.engines;
-        self.engine_of.retain(|_, engine| engines.contains_key(engine));
+        self.engine_ids.retain(|_, engine| engines.contains_key(engine));
         self.end_use(engine);
     }
 
-    /// Notes that an engine's entry can't be read: no start of its name is used any more, in doubt or not. Returns those
-    /// that were known.
+    /// Handles an unreadable entry: all starts of the engine with that name are no longer used. Returns the known starts.
     pub fn on_entry_unreadable(&mut self, entry: &EngineId, now: MonotonicTime) -> Vec<EngineId> {
         let starts = self.starts_of(entry.as_str()).map(|state| {
             let since = state.delisted.map_or(now, |removal| removal.since);
@@ -146,46 +145,46 @@
         starts
     }
 
-    /// Every start of a name that is known.
+    /// All known starts of the engine with the given name.
     pub(super) fn starts_of(&mut self, name: &str) -> impl Iterator<Item = &mut EngineState> {
         let first = EngineId::new(name);
         let last = EngineId::started(name, EngineStart(u64::MAX));
         self.engines.range_mut(first..=last).map(|(_, state)| state)
     }
 
-    /// What a pool's engines were seen to take; the assumption where none was seen yet.
+    /// Learned speeds of a pool; the configured defaults before anything was observed.
     pub fn speeds(&self, pool: &PoolId) -> PoolSpeeds {
         self.speeds
             .get(pool)
             .copied()
-            .unwrap_or_else(|| self.assumed_speeds())
+            .unwrap_or_else(|| self.default_speeds())
     }
 
-    pub(super) fn assumed_speeds(&self) -> PoolSpeeds {
+    pub(super) fn default_speeds(&self) -> PoolSpeeds {
         PoolSpeeds::with_initial_speed(
             self.weights.assumed_prompt_tokens_per_second,
             self.weights.decode_reading_pace,
         )
     }
 
-    /// The engine with a handle.
+    /// State of the engine with the given handle; absent if it is unknown.
     pub(super) fn state_of(&mut self, handle: SubjectHandle) -> Option<&mut EngineState> {
-        self.engines.get_mut(self.engine_of.get(&handle)?)
+        self.engines.get_mut(self.engine_ids.get(&handle)?)
     }
 
-    /// The short name of an engine, the same at every node.
+    /// Handle of an engine, which is the same at every node.
     pub fn handle_of(&self, engine: &EngineId) -> SubjectHandle {
         self.engines
             .get(engine)
             .map_or_else(|| SubjectHandle::of_engine(engine), |state| state.handle)
     }
 
-    /// The engine with a short name; absent where it is not known.
+    /// Name of the engine with the given handle; absent if it is unknown.
     pub fn engine_by_handle(&self, handle: SubjectHandle) -> Option<EngineId> {
-        self.engine_of.get(&handle).cloned()
+        self.engine_ids.get(&handle).cloned()
     }
 
-    /// The known ones of some engines.
+    /// Names of the engines with the given handles; unknown ones are left out.
     pub fn engines_by_handle(&self, handles: &[SubjectHandle]) -> Vec<EngineId> {
         handles
             .iter()
@@ -193,38 +192,38 @@
             .collect()
     }
 
-    /// Takes the load that an engine told in an answer.
-    pub fn on_reported_load(&mut self, engine: &EngineId, told: ReportedLoad, now: MonotonicTime) {
+    /// Records the load that an engine reported in an answer.
+    pub fn on_reported_load(&mut self, engine: &EngineId, reported: ReportedLoad, now: MonotonicTime) {
         let state = self.engines.get_mut(engine);
-        // What an earlier start told says nothing of the engine as it is, nor of its pool's machines now.
+        // A report of an earlier start applies neither to the current start nor to the pool's pace.
         let Some(state) = state.filter(|state| !state.has_later_start()) else {
             return;
         };
         state.record_answer(now);
-        state.reported_load = Some((told, now));
-        self.on_reported_pace(engine, &told, now);
+        state.reported_load = Some((reported, now));
+        self.on_reported_pace(engine, &reported, now);
     }
 
-    /// All engines known, by name.
+    /// All known engines, ordered by name.
     pub fn engines(&self) -> impl Iterator<Item = &EngineState> {
         self.engines.values()
     }
 
-    /// One engine.
+    /// State of an engine; absent if it is unknown.
     pub fn engine(&self, engine: &EngineId) -> Option<&EngineState> {
         self.engines.get(engine)
     }
 
-    /// Engines that take work now.
-    pub fn engines_taking_work(&self, now: MonotonicTime) -> usize {
+    /// Number of engines that accept new requests now, in all pools.
+    pub fn available_engine_count(&self, now: MonotonicTime) -> usize {
         self.engines
             .values()
             .filter(|state| state.takes_work(now, false))
             .count()
     }
 
-    /// Engines of a pool that may run outputs now, those left alone for a while among them.
-    pub fn decode_capable_engines(&self, pool: &PoolId, now: MonotonicTime) -> usize {
+    /// Number of engines of a pool that can run decode now, including temporarily avoided ones.
+    pub fn decode_engine_count(&self, pool: &PoolId, now: MonotonicTime) -> usize {
         let engines = self.engines.values();
         engines
             .filter(|state| state.engine.pool == *pool && state.engine.stage != EngineStage::Prefill)
@@ -232,17 +231,17 @@
             .count()
     }
 
-    /// The use of the pools by tenants and kinds.
+    /// Usage of the pools by tenants and kinds of requests.
     pub fn sharing(&self) -> &UseLedger {
         &self.sharing
     }
 
-    /// The same, to be told what was used.
+    /// Mutable access to record usage.
     pub fn sharing_mut(&mut self) -> &mut UseLedger {
         &mut self.sharing
     }
 
-    /// Pools whose engines run models.
+    /// Pools that serve a model.
     pub fn model_pools(&self) -> Vec<PoolId> {
         self.traits.keys().cloned().collect()
     }
--- a/crates/core/src/routing/pool/weights.rs
+++ b/crates/core/src/routing/pool/weights.rs
@@ -1,65 +1,64 @@
-//! Settings of the pool router's cost.
+//! Settings of the pool router, mainly the weights of the cost formula.
 
 use super::pace::EnginePaceUse;
 use super::working_set::WorkingSetSettings;
 use crate::setting::FieldError;
 use serde::{Deserialize, Serialize};
 
-/// Weights of the cost in [`super::cost`]; dimensionless unless they say otherwise.
+/// Weights of the cost formula in [`super::cost`]. A weight without a unit multiplies a time in seconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PoolWeights {
-    /// Worth of a second until reading the prompt begins.
+    /// Weight of the wait until prefill starts.
     pub wait: f64,
-    /// Worth of a second of reading the part of the prompt that the engine does not hold.
+    /// Weight of the prefill time for the part of the prompt that the engine does not hold.
     pub compute: f64,
-    /// Worth of a second of fetching a held part from another engine.
+    /// Weight of the time to fetch held blocks from another engine.
     pub fetch: f64,
-    /// Worth of a second for which other KV caches arrive first.
+    /// Weight of the time for KV cache transfers that are already in progress to the engine.
     pub arriving: f64,
-    /// Cost of reading a shared part that nobody holds away from its home, in seconds, so that nodes which meet it at
-    /// the same time read it once.
+    /// Cost in seconds of prefilling a prefix that no engine holds at an engine other than its home, so that nodes that
+    /// receive the prefix at the same time select the same engine.
     pub away_seconds: f64,
-    /// Worth of a second of moving a prompt's KV cache to the engine that runs the output.
+    /// Weight of the time to transfer the prompt's KV cache to the decode engine.
     pub transfer: f64,
-    /// Time that a hand-over takes beside the move, in seconds.
+    /// Time of a handoff in addition to the KV cache transfer, in seconds.
     pub handover_seconds: f64,
-    /// Cost of leaving this node's zone, in seconds.
+    /// Cost of prefill outside this node's zone, in seconds.
     pub other_zone_seconds: f64,
-    /// Cost of handing a KV cache to another zone, in seconds.
+    /// Cost of transferring a KV cache to another zone, in seconds.
     pub transfer_zone_seconds: f64,
-    /// Cost of leaving a shared part in one zone only, where spot engines hold it and may all be taken away, in seconds.
+    /// Cost in seconds of keeping a shared prefix only in one zone and only at spot engines, which may all be reclaimed.
     pub lone_zone_seconds: f64,
-    /// Worth of the part of an engine's places that is taken, in seconds.
+    /// Cost of a full set of slots, in seconds; scaled by the square of the used share.
     pub places_seconds: f64,
-    /// Worth of the part of an engine's memory that is taken, in seconds.
+    /// Cost of a full KV cache, in seconds; scaled by the square of the used share.
     pub memory_seconds: f64,
-    /// Cost of each request beyond an engine's places, in seconds.
+    /// Cost of each request beyond the engine's slots, in seconds.
     pub overflow_seconds: f64,
-    /// Wait that is as bad as losing a request that may run on one engine only, in seconds.
+    /// Cost of losing a request that may run on one engine only, in seconds.
     pub single_try_seconds: f64,
-    /// Most by which the cost of an engine differs by chance from one request to the next, in seconds, so that nodes which
-    /// choose before they have heard of each other do not all choose the same of several equal engines.
+    /// Upper bound of the random addition to the cost of an engine, in seconds. It keeps nodes that select at the same time
+    /// from all selecting the same of several equal engines.
     pub spread_seconds: f64,
-    /// Speed of reading prompts that is assumed until one was seen, in tokens per second.
+    /// Prefill speed that is assumed until one has been observed, in tokens per second.
     pub assumed_prompt_tokens_per_second: f64,
-    /// Pace at which an engine that runs outputs reads a prompt itself, relative to one that reads prompts.
+    /// Assumed prefill speed of a decode engine relative to a prefill engine.
     pub decode_reading_pace: f64,
-    /// Worth of a second for which outputs wait at an engine because it reads prompts.
+    /// Weight of the time for which decode waits because the engine prefills other prompts.
     pub held_up: f64,
-    /// Part by which a second of reading there costs more for each request that runs its output beside it.
+    /// Relative increase of the prefill cost at a decode engine for each request that decodes there.
     pub decode_reading_stall: f64,
-    /// The same, on top, where reading was seen to make the outputs beside it late.
+    /// Additional increase of the same kind at full harm, when prefill has been observed to delay decode.
     pub decode_reading_harm: f64,
-    /// Cost of one stream that is sure to pause for longer than its route allows, in seconds: what a caller that
-    /// waits for the next event loses by an answer that comes too late. Zero: pauses are not foreseen.
+    /// Cost in seconds of one stream that exceeds the event gap limit of its route; zero leaves event gaps out of the
+    /// cost.
     pub pause_seconds: f64,
-    /// Worth of a second that the output itself takes, where `engine_pace` decides: of two idle engines the quicker one
-    /// costs less.
+    /// Weight of the decode time if `engine_pace` is in use, so that the faster of two idle engines costs less.
     pub output_time: f64,
-    /// For which engines a lasting speed and a momentary figure are told apart.
+    /// Engines for which the lasting and the momentary pace are tracked separately.
     pub engine_pace: EnginePaceUse,
-    /// How many engines of a large pool are in use.
+    /// Size of the working set of a large pool.
     pub working_set: WorkingSetSettings,
 }
 
@@ -95,7 +94,7 @@
 }
 
 impl PoolWeights {
-    /// Every wrong setting, with what is allowed.
+    /// All invalid settings, each with the allowed values.
     pub fn validate(&self) -> Vec<FieldError> {
         let weights = [
             ("routing.wait", self.wait, 0.0),
@@ -125,14 +124,14 @@
             ("routing.pause_seconds", self.pause_seconds, 0.0),
             ("routing.output_time", self.output_time, 0.0),
         ];
-        let wrong = weights
+        let invalid = weights
             .into_iter()
-            .filter(|(_, value, least)| !(value.is_finite() && value >= least))
-            .map(|(field, value, least)| FieldError {
+            .filter(|(_, value, minimum)| !(value.is_finite() && value >= minimum))
+            .map(|(field, value, minimum)| FieldError {
                 field: field.to_owned(),
                 value: value.to_string(),
-                allowed: format!("a finite number, {least} or more"),
+                allowed: format!("a finite number, {minimum} or more"),
             });
-        wrong.chain(self.working_set.validate()).collect()
+        invalid.chain(self.working_set.validate()).collect()
     }
 }
--- a/crates/core/src/routing/pool/working_set/load.rs
+++ b/crates/core/src/routing/pool/working_set/load.rs
@@ -66,7 +66,7 @@
 impl PoolRouter {
     pub(super) fn states_of_group(&self, index: usize) -> impl Iterator<Item = &EngineState> {
         let handles = self.working_set.groups[index].in_use.iter();
-        handles.filter_map(|handle| self.engines.get(self.engine_of.get(handle)?))
+        handles.filter_map(|handle| self.engines.get(self.engine_ids.get(handle)?))
     }
 
     pub(super) fn load_of_group(&self, index: usize, now: MonotonicTime) -> GroupLoad {
--- a/crates/core/src/routing/pool/working_set/members.rs
+++ b/crates/core/src/routing/pool/working_set/members.rs
@@ -173,7 +173,7 @@
     }
 
     fn engine_satisfies(&self, handle: SubjectHandle, predicate: impl Fn(&EngineState) -> bool) -> bool {
-        let engine = self.engine_of.get(&handle);
+        let engine = self.engine_ids.get(&handle);
         engine
             .and_then(|engine| self.engines.get(engine))
             .is_some_and(predicate)
@@ -182,7 +182,7 @@
     fn return_to_reserve(&mut self, index: usize, handle: SubjectHandle) {
         let group = &mut self.working_set.groups[index];
         group.in_use.remove(&handle);
-        let state = self.engine_of.remove(&handle);
+        let state = self.engine_ids.remove(&handle);
         let state = state.and_then(|engine| self.engines.remove(&engine));
         if let Some(state) = state {
             group.reserve.insert(handle, state.engine);
--- a/crates/core/tests/engine_signals.rs
+++ b/crates/core/tests/engine_signals.rs
@@ -60,8 +60,8 @@
             leaving: true,
             ..engine.clone()
         }),
-        Source::Gone => router.on_engine_gone(&engine.id, false, now),
-        Source::GoneInDoubt => router.on_engine_gone(&engine.id, true, now),
+        Source::Gone => router.on_engine_delisted(&engine.id, false, now),
+        Source::GoneInDoubt => router.on_engine_delisted(&engine.id, true, now),
         Source::UnreadableEntry => {
             router.on_entry_unreadable(&EngineId::new(engine.id.as_str()), now);
         }
@@ -93,7 +93,7 @@
             now = now + Duration::from_millis(pause);
             apply(&mut router, source, &drains, now);
             router.update_working_set(now);
-            prop_assert_eq!(router.engines_taking_work(now), 0);
+            prop_assert_eq!(router.available_engine_count(now), 0);
             prop_assert_eq!(router.reserve().count(), 0);
             prop_assert_eq!(router.not_accepting(&drains.id, now), Some(NotAccepting::Draining));
         }
@@ -106,7 +106,7 @@
     let mut router = router(std::slice::from_ref(&first));
     router.on_draining(handle(&first));
     router.on_engine_listed(second.clone());
-    assert_eq!(router.engines_taking_work(NOW), 1);
+    assert_eq!(router.available_engine_count(NOW), 1);
     assert_eq!(router.not_accepting(&second.id, NOW), None);
     assert_eq!(router.not_accepting(&first.id, NOW), Some(NotAccepting::Draining));
 }
@@ -125,7 +125,7 @@
     let mut router = router_with(weights, 64, None, &engines);
     let drains = router.in_use().pop().expect("one is in use");
     router.on_draining(handle(&drains));
-    let taking = router.engines_taking_work(NOW);
+    let taking = router.available_engine_count(NOW);
     assert_eq!(taking, 1);
     assert_eq!(router.reserve().count(), 0);
 }
@@ -207,9 +207,9 @@
     let only = engine("only", 0);
     let mut router = router(std::slice::from_ref(&only));
     router.on_backoff_requested(&only.id, Duration::from_secs(30), NOW);
-    router.on_engine_gone(&only.id, false, NOW);
+    router.on_engine_delisted(&only.id, false, NOW);
     let later = NOW + Duration::from_secs(10);
-    router.on_engine_gone(&EngineId::new("another"), false, later);
+    router.on_engine_delisted(&EngineId::new("another"), false, later);
     assert!(router.engine(&only.id).is_none(), "forgotten");
     router.on_engine_listed(only.clone());
     assert_eq!(part_to(&router, "only", true, later), 0);
--- a/crates/core/tests/engine_starts.rs
+++ b/crates/core/tests/engine_starts.rs
@@ -84,7 +84,7 @@
         for change in self.listing.apply(vec![(version, change)], version) {
             match change {
                 ListChange::Listed(engine) => self.router.on_engine_listed(engine),
-                ListChange::Gone(engine) => self.router.on_engine_gone(&engine, doubtful, now),
+                ListChange::Gone(engine) => self.router.on_engine_delisted(&engine, doubtful, now),
                 ListChange::Unreadable(entry) => {
                     self.router.on_entry_unreadable(&entry, now);
                 }
@@ -184,12 +184,12 @@
     let mut node = Node::new();
     node.hear(2, gone_by_name(), true, at(100));
     assert_eq!(
-        node.router.engines_taking_work(at(110)),
+        node.router.available_engine_count(at(110)),
         1,
         "only its entry may have lapsed"
     );
     node.hear(3, listed(2), false, at(120));
-    assert_eq!(node.router.engines_taking_work(at(120)), 1);
+    assert_eq!(node.router.available_engine_count(at(120)), 1);
     assert_eq!(chosen(node.answer(1, 1, at(121))), Some(handle(2)));
     assert!(node.state(1).has_later_start() && !node.state(1).is_active());
     assert!(!node.state(1).is_draining());
@@ -200,13 +200,13 @@
     let mut node = Node::new();
     node.hear(2, gone_by_name(), true, at(100));
     node.hear(3, unreadable(), true, at(110));
-    assert_eq!(node.router.engines_taking_work(at(110)), 0);
+    assert_eq!(node.router.available_engine_count(at(110)), 0);
     assert_eq!(node.answer(1, 1, at(111)), Placement::Nowhere);
     let mut node = Node::new();
     node.hear(2, unreadable(), true, at(100));
-    assert_eq!(node.router.engines_taking_work(at(100)), 0);
+    assert_eq!(node.router.available_engine_count(at(100)), 0);
     node.hear(3, listed(1), false, at(200));
-    assert_eq!(node.router.engines_taking_work(at(200)), 1);
+    assert_eq!(node.router.available_engine_count(at(200)), 1);
 }
 
 #[test]
@@ -273,7 +273,7 @@
         assert!(!state.answered_recently(now), "liveness");
         assert_eq!(state.ordered_stage(now), None, "orders");
         assert_eq!(state.work_factor(now), 1.0);
-        assert_eq!(node.router.engines_taking_work(now), 1, "health");
+        assert_eq!(node.router.available_engine_count(now), 1, "health");
         assert_eq!(node.router.own_load(), [], "the earlier one's work has ended");
         assert_eq!(chosen(node.answer(3, 1, now)), Some(handle(2)));
         assert_eq!(node.state(2).load(now).requests, 1.0);
--- a/crates/core/tests/pool_router.rs
+++ b/crates/core/tests/pool_router.rs
@@ -193,7 +193,7 @@
     engines[1].models = vec!["other".to_owned()];
     engines[3].leaving = true;
     let mut router = router(&engines);
-    router.on_engine_gone(&EngineId::new("d2"), false, NOW);
+    router.on_engine_delisted(&EngineId::new("d2"), false, NOW);
     for shared in 0..20 {
         let asked = Asked::new(shared);
         assert_eq!(
@@ -207,7 +207,7 @@
         matches!(route, PoolRoute::Whole(engine) if engine.id.as_str() == "d3"),
         "nobody else reads prompts"
     );
-    router.on_engine_gone(&EngineId::new("d3"), false, NOW);
+    router.on_engine_delisted(&EngineId::new("d3"), false, NOW);
     assert_eq!(router.choose(&Asked::new(1).query(), NOW), PoolRoute::Nowhere);
 }
 
@@ -218,7 +218,7 @@
         engine("d1", EngineStage::Decode),
     ]);
     for id in ["p1", "d1"] {
-        router.on_engine_gone(&EngineId::new(id), true, NOW);
+        router.on_engine_delisted(&EngineId::new(id), true, NOW);
     }
     let asked = Asked::new(1);
     assert!(matches!(
@@ -512,7 +512,7 @@
     router.on_engine_listed(spot("a1", "zone-a", true));
     router.on_engine_listed(spot("a2", "zone-a", true));
     assert!(router.update_reclaimed_zones(NOW));
-    assert_eq!(router.engines_taking_work(NOW), 1, "the one of the other zone");
+    assert_eq!(router.available_engine_count(NOW), 1, "the one of the other zone");
     let later = NOW + Duration::from_secs(4);
-    assert_eq!(router.engines_taking_work(later), 4, "those that stay after all");
+    assert_eq!(router.available_engine_count(later), 4, "those that stay after all");
 }
--- a/crates/core/tests/working_set.rs
+++ b/crates/core/tests/working_set.rs
@@ -162,7 +162,7 @@
         leaving: true,
         ..leaving
     });
-    router.on_engine_gone(&gone.id, false, at(10));
+    router.on_engine_delisted(&gone.id, false, at(10));
     assert_eq!(in_use(&router, EngineStage::Prefill), before);
 }
 
@@ -171,7 +171,7 @@
     let mut router = fleet(3_000);
     let used = router.in_use();
     for engine in used.iter().step_by(2) {
-        router.on_engine_gone(&engine.id, false, at(10));
+        router.on_engine_delisted(&engine.id, false, at(10));
     }
     assert_eq!(router.in_use().len(), used.len());
 }
--- a/crates/node/src/context.rs
+++ b/crates/node/src/context.rs
@@ -285,7 +285,7 @@
                         log::info!(engine = engine.as_str(), start:% = engine.start(), doubtful, source; "engine_gone");
                         self.links.forget(&engine);
                     }
-                    lock(&self.router).on_engine_gone(&engine, doubtful, now);
+                    lock(&self.router).on_engine_delisted(&engine, doubtful, now);
                 }
             }
         }
--- a/crates/node/src/operator_page.rs
+++ b/crates/node/src/operator_page.rs
@@ -184,7 +184,7 @@
             .set(context.kept_for_callers.bytes() as i64);
         metrics.cordons.set(cordons::view(context).cordons.len() as i64);
         let router = lock(&context.router);
-        metrics.engines.set(router.engines_taking_work(now) as i64);
+        metrics.engines.set(router.available_engine_count(now) as i64);
         metrics.engines_reserved.set(router.reserve().count() as i64);
         metrics
             .rate_limits
--- a/crates/node/src/quarantine/admitting.rs
+++ b/crates/node/src/quarantine/admitting.rs
@@ -95,7 +95,7 @@
     deadline: MonotonicTime,
 ) -> Result<Trial<'a>, (&'static str, Duration)> {
     let now = context.now();
-    if lock(&context.router).decode_capable_engines(pool, now) < LEAST_ENGINES {
+    if lock(&context.router).decode_engine_count(pool, now) < LEAST_ENGINES {
         return Err(("last_engine", SUSPECT_RETRY_AFTER));
     }
     let id = TrialId {
