--- a/crates/core/src/routing/pool/router.rs
+++ b/crates/core/src/routing/pool/router.rs
@@ -111,7 +111,7 @@
                 self.engines.insert(id.clone(), state);
             }
         }
-        self.note_cordon(&id);
+        self.apply_cordons_to(&id);
     }
 
     /// Handles the removal of an engine from the platform's list. `doubtful` means that the store has just had problems,
