--- a/crates/core/src/routing/pool/cost.rs
+++ b/crates/core/src/routing/pool/cost.rs
@@ -243,7 +243,8 @@
         if prefill.fetched == 0.0 {
             return 0.0;
         }
-        self.weights.fetch * prefill.fetched * self.move_seconds.unwrap_or_default() + self.incoming_transfer_cost(load)
+        self.weights.fetch * prefill.fetched * self.move_seconds.unwrap_or_default()
+            + self.incoming_transfer_cost(load)
     }
 
     /// Wait for the KV cache transfers in progress; an engine receives them one after another.
--- a/crates/core/tests/pool_router.rs
+++ b/crates/core/tests/pool_router.rs
@@ -514,5 +514,9 @@
     assert!(router.update_reclaimed_zones(NOW));
     assert_eq!(router.available_engine_count(NOW), 1, "the one of the other zone");
     let later = NOW + Duration::from_secs(4);
-    assert_eq!(router.available_engine_count(later), 4, "those that stay after all");
+    assert_eq!(
+        router.available_engine_count(later),
+        4,
+        "those that stay after all"
+    );
 }
