--- a/crates/core/src/routing/pool/admission.rs
+++ b/crates/core/src/routing/pool/admission.rs
@@ -160,7 +160,7 @@
 }
 
 /// Rank of late requests, below the rank of every route.
-pub const LATE_RANK: usize = super::peer_reports::RANK_COUNT - 1;
+pub const LATE_RANK: usize = super::beliefs::RANK_COUNT - 1;
 
 /// Whether to admit a prompt that would miss its target even with an empty queue. A configured fraction of such prompts
 /// is admitted so that they are not starved; the fraction is the same at every placer.
--- a/crates/core/src/routing/pool/dispatches.rs
+++ b/crates/core/src/routing/pool/dispatches.rs
@@ -1,10 +1,10 @@
 //! Lifecycle of dispatches: updates in-flight work, speeds, health and prefix estimates from their outcomes.
 
 use super::admission::LATE_RANK;
+use super::beliefs::PrefixUpdate;
 use super::cost::{PrefillWork, shared_prefixes};
 use super::engine::{EngineState, InFlightWork};
 use super::pace::{ObservedWork, PaceObservation};
-use super::peer_reports::PrefixUpdate;
 use super::pool_speeds::PoolSpeeds;
 use super::query::{PoolQuery, PrefixBlock, PromptShape};
 use super::router::PoolRouter;
--- a/crates/core/src/routing/pool/engine.rs
+++ b/crates/core/src/routing/pool/engine.rs
@@ -1,10 +1,10 @@
 //! State that the router keeps for each engine of a pool: listing, load, health and pending orders.
 
+use super::beliefs::{PeerLoad, RANK_COUNT};
 use super::cordons::EngineCordon;
 use super::dispatches::KvCacheSource;
 use super::pace::EnginePace;
 use super::pauses::RecentPrefill;
-use super::peer_reports::{PeerLoad, RANK_COUNT};
 use super::prefix_cache::PrefixCacheEstimate;
 use super::risk::FailureRate;
 use super::speed::PrefillSpeed;
--- a/crates/core/src/routing/pool/mod.rs
+++ b/crates/core/src/routing/pool/mod.rs
@@ -8,6 +8,7 @@
 //! [`cost`] documents the cost formula.
 
 mod admission;
+mod beliefs;
 mod choice;
 mod concurrent_work;
 mod cordons;
@@ -22,7 +23,6 @@
 mod pace;
 mod paths;
 pub mod pauses;
-mod peer_reports;
 mod peers;
 mod pool_speeds;
 mod prefix_cache;
@@ -40,6 +40,7 @@
 mod working_set;
 
 pub use admission::{Admission, AdmissionDecision, LATE_RANK, PoolAdmission, RequestTiming};
+pub use beliefs::{PeerLoad, PeerLoadSlice, PrefixUpdate, RANK_COUNT, SilenceReport, rank_for_priority};
 pub use choice::{EngineEstimate, Explanation, PoolRoute};
 pub use concurrent_work::ConcurrentWork;
 pub use cordons::{ActiveCordon, AvoidanceReason};
@@ -54,7 +55,6 @@
     PaceReports, PaceSpread, PoolPace, ReportedPace,
 };
 pub use paths::{PathChange, PathState, Paths};
-pub use peer_reports::{PeerLoad, PeerLoadSlice, PrefixUpdate, RANK_COUNT, SilenceReport, rank_for_priority};
 pub use pool_speeds::PoolSpeeds;
 pub use prefix_cache::PrefixCacheEstimate;
 pub use query::{PoolQuery, PrefixBlock, PromptPart, PromptShape, RequestConstraints};
--- a/crates/core/src/routing/pool/peers.rs
+++ b/crates/core/src/routing/pool/peers.rs
@@ -1,7 +1,7 @@
 //! Exchange between peers: load, demand, stage orders and the prefix blocks that engines hold.
 
+use super::beliefs::{PeerLoad, PeerLoadSlice, PrefixUpdate};
 use super::engine::EngineStage;
-use super::peer_reports::{PeerLoad, PeerLoadSlice, PrefixUpdate};
 use super::query::PrefixBlock;
 use super::router::PoolRouter;
 use crate::forwarding::PoolId;
--- a/crates/core/src/routing/pool/router.rs
+++ b/crates/core/src/routing/pool/router.rs
@@ -1,11 +1,11 @@
 //! The pool router and the engines that it knows.
 
+use super::beliefs::PrefixUpdate;
 use super::cordons::ActiveCordon;
 use super::engine::{DELISTED_RETENTION, Delisted, EngineStage, EngineState, PoolEngine, ReportedLoad};
 use super::limits::SentRate;
 use super::pace::{PaceChange, PoolPace};
 use super::paths::Paths;
-use super::peer_reports::PrefixUpdate;
 use super::pool_speeds::PoolSpeeds;
 use super::prompt_demand::PromptDemand;
 use super::silences::{EngineAvailabilityChange, PendingSilence};
--- a/crates/core/src/routing/pool/silences.rs
+++ b/crates/core/src/routing/pool/silences.rs
@@ -3,9 +3,9 @@
 //! Placers share these observations because each of them sees only a fraction of the requests. Without the reports,
 //! every placer would have to let requests time out before it avoids an engine.
 
+use super::beliefs::SilenceReport;
 use super::dispatches::PoolTicket;
 use super::paths::PathChange;
-use super::peer_reports::SilenceReport;
 use super::router::PoolRouter;
 use crate::identity::{EngineId, ZoneId};
 use crate::membership::subject::SubjectHandle;
