--- a/crates/core/src/routing/pool/router.rs
+++ b/crates/core/src/routing/pool/router.rs
@@ -127,7 +127,7 @@
         });
         let engines = &self.engines;
         self.engine_ids.retain(|_, engine| engines.contains_key(engine));
-        self.end_use(engine);
+        self.remove_delisted_engine(engine);
     }
 
     /// Handles an unreadable entry: all starts of the engine with that name are no longer used. Returns the known starts.
@@ -141,7 +141,10 @@
             state.engine.id.clone()
         });
         let starts: Vec<EngineId> = starts.collect();
-        starts.iter().chain([entry]).for_each(|start| self.end_use(start));
+        starts
+            .iter()
+            .chain([entry])
+            .for_each(|start| self.remove_delisted_engine(start));
         starts
     }
 
