--- a/crates/core/src/routing/pool/dispatches.rs
+++ b/crates/core/src/routing/pool/dispatches.rs
@@ -1,10 +1,10 @@
 //! Lifecycle of dispatches: updates in-flight work, speeds, health and prefix estimates from their outcomes.
 
 use super::admission::LATE_RANK;
+use super::beliefs::PrefixUpdate;
 use super::cost::{PrefillWork, shared_prefixes};
 use super::engine::{EngineState, InFlightWork};
 use super::pace::{ObservedWork, PaceObservation};
-use super::peer_reports::PrefixUpdate;
 use super::pool_speeds::PoolSpeeds;
 use super::query::{PoolQuery, PrefixBlock, PromptShape};
 use super::router::PoolRouter;
@@ -145,7 +145,7 @@
             self.observe_prefill(&ticket.engine, &before, |speeds| &mut speeds.decode, now);
         } else if before.kv_source == Some(KvCacheSource::Transfer) {
             let pool = state.engine.pool.clone();
-            let initial_speeds = self.assumed_speeds();
+            let initial_speeds = self.default_speeds();
             let speeds = self.speeds.entry(pool).or_insert(initial_speeds);
             if before.rank != LATE_RANK {
                 speeds.observe_handoff(now.since(before.sent_at), before.had_free_slot);
@@ -155,7 +155,7 @@
 
     /// Records the gap between two events of an output, as a fraction of the maximum tolerated gap.
     pub fn on_pause(&mut self, ticket: &PoolTicket, fraction: f64, now: MonotonicTime) {
-        let initial_speeds = self.assumed_speeds();
+        let initial_speeds = self.default_speeds();
         let Some(state) = self.engines.get(&ticket.engine) else {
             return;
         };
@@ -244,7 +244,7 @@
         speed_of: fn(&mut PoolSpeeds) -> &mut PrefillSpeed,
         now: MonotonicTime,
     ) {
-        let initial_speeds = self.assumed_speeds();
+        let initial_speeds = self.default_speeds();
         let Some(state) = self.engines.get_mut(engine) else {
             return;
         };
--- a/crates/core/tests/engine_signals.rs
+++ b/crates/core/tests/engine_signals.rs
@@ -60,8 +60,8 @@
             leaving: true,
             ..engine.clone()
         }),
-        Source::Delisted => router.on_engine_gone(&engine.id, false, now),
-        Source::DelistedInDoubt => router.on_engine_gone(&engine.id, true, now),
+        Source::Delisted => router.on_engine_delisted(&engine.id, false, now),
+        Source::DelistedInDoubt => router.on_engine_delisted(&engine.id, true, now),
         Source::UnreadableEntry => {
             router.on_entry_unreadable(&EngineId::new(engine.id.as_str()), now);
         }
@@ -93,7 +93,7 @@
             now = now + Duration::from_millis(pause);
             apply(&mut router, source, &draining, now);
             router.update_working_set(now);
-            prop_assert_eq!(router.engines_taking_work(now), 0);
+            prop_assert_eq!(router.available_engine_count(now), 0);
             prop_assert_eq!(router.reserve().count(), 0);
             prop_assert_eq!(router.not_accepting(&draining.id, now), Some(NotAccepting::Draining));
         }
@@ -106,7 +106,7 @@
     let mut router = router(std::slice::from_ref(&first));
     router.on_draining(handle(&first));
     router.on_engine_listed(second.clone());
-    assert_eq!(router.engines_taking_work(NOW), 1);
+    assert_eq!(router.available_engine_count(NOW), 1);
     assert_eq!(router.not_accepting(&second.id, NOW), None);
     assert_eq!(router.not_accepting(&first.id, NOW), Some(NotAccepting::Draining));
 }
@@ -125,7 +125,7 @@
     let mut router = router_with(weights, 64, None, &engines);
     let draining = router.in_use().pop().expect("one is in use");
     router.on_draining(handle(&draining));
-    let available = router.engines_taking_work(NOW);
+    let available = router.available_engine_count(NOW);
     assert_eq!(available, 1);
     assert_eq!(router.reserve().count(), 0);
 }
@@ -216,9 +216,9 @@
     let only = engine("only", 0);
     let mut router = router(std::slice::from_ref(&only));
     router.on_backoff_requested(&only.id, Duration::from_secs(30), NOW);
-    router.on_engine_gone(&only.id, false, NOW);
+    router.on_engine_delisted(&only.id, false, NOW);
     let later = NOW + Duration::from_secs(10);
-    router.on_engine_gone(&EngineId::new("another"), false, later);
+    router.on_engine_delisted(&EngineId::new("another"), false, later);
     assert!(
         router.engine(&only.id).is_none(),
         "the router has discarded the engine"
