--- a/crates/core/src/routing/pool/paths.rs
+++ b/crates/core/src/routing/pool/paths.rs
@@ -151,21 +151,21 @@
 const MAX_PENDING_CHANGES: usize = 64;
 
 impl Paths {
-    /// Records that an engine in zone `to` did not answer a request from zone `from`. `engines` is the number of
-    /// engines known in zone `to`.
+    /// Records that an engine in zone `to` did not answer a request from zone `from`. `engine_count` is the number
+    /// of engines known in zone `to`.
     pub fn record_silence(
         &mut self,
         from: &ZoneId,
         to: &ZoneId,
         engine: SubjectHandle,
-        engines: usize,
+        engine_count: usize,
         sent_at: MonotonicTime,
         now: MonotonicTime,
     ) {
         self.add_missing(from, to);
         let silence = Silence::new(from, to, engine, sent_at, now);
         let paths = self.paths.iter_mut().filter(|path| path.connects(from, to));
-        let changes = paths.filter_map(|path| path.on_silence(&silence, engines, now));
+        let changes = paths.filter_map(|path| path.on_silence(&silence, engine_count, now));
         self.changes.extend(changes);
         self.changes.truncate(MAX_PENDING_CHANGES);
     }
@@ -177,7 +177,7 @@
         from: &ZoneId,
         to: &ZoneId,
         engine: SubjectHandle,
-        engines: usize,
+        engine_count: usize,
         sent_at: MonotonicTime,
         now: MonotonicTime,
     ) {
@@ -185,7 +185,7 @@
         let silence = Silence::new(from, to, engine, sent_at, now);
         let paths = self.paths.iter_mut().filter(|path| path.connects(from, to));
         let combined = paths.filter(|path| path.other_zone.is_none() && path.has_gone_quiet(now));
-        let changes = combined.filter_map(|path| path.on_silence(&silence, engines, now));
+        let changes = combined.filter_map(|path| path.on_silence(&silence, engine_count, now));
         self.changes.extend(changes);
         self.changes.truncate(MAX_PENDING_CHANGES);
     }
@@ -284,7 +284,12 @@
         }
     }
 
-    fn on_silence(&mut self, silence: &Silence, engines: usize, now: MonotonicTime) -> Option<PathChange> {
+    fn on_silence(
+        &mut self,
+        silence: &Silence,
+        engine_count: usize,
+        now: MonotonicTime,
+    ) -> Option<PathChange> {
         if self.answered_at > silence.sent_at {
             return None;
         }
@@ -292,12 +297,12 @@
             |other: &Silence| other.engine != silence.engine && now.since(other.at) < SILENCE_WINDOW;
         self.silences.retain(is_recent);
         self.silences.push(silence.clone());
-        let needed = match self.phase {
+        let min_silences = match self.phase {
             Phase::Suspected { .. } => return None,
             Phase::Recovering { .. } => MIN_SILENT_ENGINES_RECOVERING,
-            Phase::Trusted => MIN_SILENT_ENGINES.min(engines.max(MIN_SILENT_ENGINES_RECOVERING)),
+            Phase::Trusted => MIN_SILENT_ENGINES.min(engine_count.max(MIN_SILENT_ENGINES_RECOVERING)),
         };
-        if self.silences.len() < needed || !self.has_silences_of_enough_zones() {
+        if self.silences.len() < min_silences || !self.has_silences_of_enough_zones() {
             return None;
         }
         self.phase = Phase::Suspected {
@@ -318,12 +323,12 @@
                 silence.from.clone()
             }
         };
-        let first = self.silences.first().map(remote_zone);
+        let first_zone = self.silences.first().map(remote_zone);
         self.other_zone.is_some()
             || self
                 .silences
                 .iter()
-                .any(|silence| Some(remote_zone(silence)) != first)
+                .any(|silence| Some(remote_zone(silence)) != first_zone)
     }
 
     fn on_answer(&mut self, now: MonotonicTime) -> Option<PathChange> {
--- a/crates/core/src/routing/pool/silences.rs
+++ b/crates/core/src/routing/pool/silences.rs
@@ -61,9 +61,9 @@
                 sent_at: work.sent_at,
             });
         }
-        let engines = self.engines_in(&zone);
+        let engine_count = self.engine_count_in(&zone);
         self.paths
-            .record_silence(from, &zone, engine, engines, work.sent_at, now);
+            .record_silence(from, &zone, engine, engine_count, work.sent_at, now);
     }
 
     /// Applies silence reports of another placer. If `avoids_engines`, an engine that has answered nobody since the
@@ -82,13 +82,19 @@
             };
             let zone = state.engine.zone.clone();
             let has_answered_since = state.last_answer_at.is_some_and(|at| at > sent_at);
-            let engines = self.engines_in(&zone);
-            self.paths
-                .record_reported_silence(&report.from, &zone, report.engine, engines, sent_at, now);
-            let path_is_trusted = self.paths.allows_transfer(&report.from, &zone);
+            let engine_count = self.engine_count_in(&zone);
+            self.paths.record_reported_silence(
+                &report.from,
+                &zone,
+                report.engine,
+                engine_count,
+                sent_at,
+                now,
+            );
+            let path_is_usable = self.paths.allows_transfer(&report.from, &zone);
             if let Some(state) = self.state_of(report.engine)
                 && avoids_engines
-                && path_is_trusted
+                && path_is_usable
                 && !has_answered_since
             {
                 let pause = state.health.on_unresponsive(now);
@@ -144,7 +150,7 @@
         }
     }
 
-    fn engines_in(&self, zone: &ZoneId) -> usize {
+    fn engine_count_in(&self, zone: &ZoneId) -> usize {
         let engines = self.engines.values();
         engines.filter(|state| state.engine.zone == *zone).count()
     }
--- a/crates/core/tests/paths.rs
+++ b/crates/core/tests/paths.rs
@@ -73,7 +73,10 @@
         fixture.record_silence(1, NOW, after(250));
         fixture.record_silence(1, after(10), after(260));
         fixture.record_silence(2, after(20), after(270));
-        assert!(fixture.admits(after(270)), "one engine twice counts once");
+        assert!(
+            fixture.admits(after(270)),
+            "two silences of one engine count once"
+        );
         fixture.record_silence(3, after(30), after(280));
         assert!(!fixture.admits(after(280)));
         assert!(!fixture.paths.admits(&fixture.b, &fixture.a, 7, true, after(280)));
@@ -224,10 +227,10 @@
 
     /// Number of requests that arrived in the interval and timed out at an engine.
     fn timed_out(outcomes: &[Outcome], from: u64, until: u64) -> usize {
-        let asked = outcomes
+        let arrived = outcomes
             .iter()
             .filter(|outcome| (from..until).contains(&outcome.arrived_at));
-        asked.filter(|outcome| outcome.timeouts > 0).count()
+        arrived.filter(|outcome| outcome.timeouts > 0).count()
     }
 
     /// Simulates an isolated zone three times: with placers that share silences, with placers that don't, and with
--- a/crates/core/tests/pauses_world/mod.rs
+++ b/crates/core/tests/pauses_world/mod.rs
@@ -338,10 +338,10 @@
         let before = request.last_event.replace(now);
         let is_complete = request.remaining_events == 0;
         let is_reported = request.events.is_multiple_of(PAUSE_REPORT_INTERVAL);
-        let timeout = self.setup.first_event_timeout;
+        let target = self.setup.first_event_target;
         match before {
             None => {
-                request.is_first_event_late = Duration::from_micros(now - request.arrived) > timeout;
+                request.is_first_event_late = Duration::from_micros(now - request.arrived) > target;
                 self.on_first_event(number);
             }
             Some(before) => self.on_pause(number, Duration::from_micros(now - before), is_reported),
--- a/crates/core/tests/pauses_world/parts.rs
+++ b/crates/core/tests/pauses_world/parts.rs
@@ -19,7 +19,7 @@
     pub requests_per_second: f64,
     pub seconds: u64,
     pub bound: Option<Duration>,
-    pub first_event_timeout: Duration,
+    pub first_event_target: Duration,
     pub weights: PoolWeights,
     pub seed: u64,
 }
--- a/crates/core/tests/pool_pauses.rs
+++ b/crates/core/tests/pool_pauses.rs
@@ -263,7 +263,7 @@
             requests_per_second: 75.0,
             seconds: 20,
             bound,
-            first_event_timeout: Duration::from_millis(400),
+            first_event_target: Duration::from_millis(400),
             weights,
             seed,
         }
@@ -299,7 +299,10 @@
         println!("late {late_before:.3} to {late_after:.3}");
         for (before, after) in before.iter().zip(&after) {
             assert_eq!(after.not_placed, 0);
-            assert_eq!(before.completed, after.completed, "every stream completes");
+            assert_eq!(
+                before.completed, after.completed,
+                "both runs must complete the same number of streams"
+            );
         }
         assert!(pause_after < 0.7 * pause_before);
         assert!(first_after < first_before + 0.01);
