--- a/crates/core/src/routing/pool/mod.rs
+++ b/crates/core/src/routing/pool/mod.rs
@@ -1,13 +1,14 @@
-//! Choice of engines for forwarded requests.
+//! Selection of engines for forwarded requests.
 //!
-//! Unlike [`super::router::KvRouter`], which compares engines by load reports in tokens, [`PoolRouter`] has to do with
-//! engines whose reports are dear: it counts what this node sent and has not ended, adds what other nodes say of
-//! themselves, and believes that an engine holds the prompt parts that were read there. Where nobody knows who holds
-//! a shared part, rendezvous hashing names its home, so that nodes agree without a message.
+//! Unlike [`super::router::KvRouter`], which compares engines by their load reports, [`PoolRouter`] estimates load from the
+//! requests in flight at this node and from the reports of peers. It assumes that an engine holds the prompt prefixes that
+//! were prefilled there. A shared prefix that no engine is known to hold is assigned by rendezvous hashing, so that nodes
+//! agree without communication.
 //!
-//! [`cost`] documents the formula.
+//! [`cost`] documents the cost formula.
 
 mod admission;
+mod beliefs;
 mod choice;
 mod concurrent_work;
 mod cordons;
@@ -22,7 +23,6 @@
 mod pace;
 mod paths;
 pub mod pauses;
-mod peer_reports;
 mod peers;
 mod pool_speeds;
 mod prefix_cache;
@@ -40,6 +40,7 @@
 mod working_set;
 
 pub use admission::{Admission, AdmissionDecision, LATE_RANK, PoolAdmission, RequestTiming};
+pub use beliefs::{PeerLoad, PeerLoadSlice, PrefixUpdate, RANK_COUNT, SilenceReport, rank_for_priority};
 pub use choice::{EngineEstimate, Explanation, PoolRoute};
 pub use concurrent_work::ConcurrentWork;
 pub use cordons::{ActiveCordon, AvoidanceReason};
@@ -54,7 +55,6 @@
     PaceReports, PaceSpread, PoolPace, ReportedPace,
 };
 pub use paths::{PathChange, PathState, Paths};
-pub use peer_reports::{PeerLoad, PeerLoadSlice, PrefixUpdate, RANK_COUNT, SilenceReport, rank_for_priority};
 pub use pool_speeds::PoolSpeeds;
 pub use prefix_cache::PrefixCacheEstimate;
 pub use query::{PoolQuery, PrefixBlock, PromptPart, PromptShape, RequestConstraints};
--- a/crates/core/tests/working_set.rs
+++ b/crates/core/tests/working_set.rs
@@ -165,7 +165,7 @@
         leaving: true,
         ..leaving
     });
-    router.on_engine_gone(&gone.id, false, at(10));
+    router.on_engine_delisted(&gone.id, false, at(10));
     assert_eq!(in_use(&router, EngineStage::Prefill), before);
 }
 
@@ -174,7 +174,7 @@
     let mut router = fleet_of(3_000);
     let engines = router.in_use();
     for engine in engines.iter().step_by(2) {
-        router.on_engine_gone(&engine.id, false, at(10));
+        router.on_engine_delisted(&engine.id, false, at(10));
     }
     assert_eq!(router.in_use().len(), engines.len());
 }
