--- a/crates/core/src/routing/pool/mod.rs
+++ b/crates/core/src/routing/pool/mod.rs
@@ -24,7 +24,6 @@
 mod pace;
 mod paths;
 pub mod pauses;
-mod peer_reports;
 mod pool_speeds;
 mod prefix_cache;
 mod prompt_demand;
