--- a/crates/core/src/routing/pool/pace/lasting.rs
+++ b/crates/core/src/routing/pool/pace/lasting.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// The factor by which work lasts longer at an engine than is usual in its pool; below one if the engine is faster.
+/// The factor by which work takes longer at an engine than at an average engine of its pool; below one if the engine is faster.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LastingPace {
     own: Evidence,
--- a/crates/core/src/routing/pool/pace/mod.rs
+++ b/crates/core/src/routing/pool/pace/mod.rs
@@ -1,4 +1,4 @@
-//! Paces of engines: by which factor work lasts longer at an engine than usual in its pool.
+//! Paces of engines: the factor by which work takes longer at an engine than at an average engine of its pool.
 //!
 //! The lasting pace belongs to the engine ([`lasting`]). The momentary pace belongs to its machine, which the engine shares
 //! with other workloads ([`momentary`]): engines report it in the headers of their responses, and it may change many times
@@ -78,7 +78,7 @@
         self.is_enabled
     }
 
-    /// Factor by which work lasts longer now than usual in the pool.
+    /// Factor by which work takes longer now than on average in the pool.
     pub fn factor(&self, now: MonotonicTime) -> f64 {
         self.lasting.factor() * self.momentary.factor(&self.traits, now)
     }
@@ -88,7 +88,7 @@
         self.momentary.factor(&self.traits, now)
     }
 
-    /// Factor by which work lasts longer on average, independent of the current state of the machine.
+    /// Factor by which work takes longer on average, independent of the current state of the machine.
     pub fn average_factor(&self) -> f64 {
         self.lasting.factor() * self.momentary.mean(&self.traits)
     }
--- a/crates/core/src/routing/pool/pace/router.rs
+++ b/crates/core/src/routing/pool/pace/router.rs
@@ -153,7 +153,7 @@
         self.queue_change_for_log(engine);
     }
 
-    /// Queues a change of the lasting pace for the log if it is large enough.
+    /// Queues a change of the lasting pace for the log if the change and its weight are large enough.
     fn queue_change_for_log(&mut self, engine: &EngineId) {
         let Some(state) = self.engines.get_mut(engine) else {
             return;
--- a/crates/core/src/routing/pool/working_set/members.rs
+++ b/crates/core/src/routing/pool/working_set/members.rs
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Removes an engine that is no longer listed from its group and brings another one into use.
+    /// Removes a delisted engine from its group and brings another one into use.
     pub(in crate::routing::pool) fn remove_delisted_engine(&mut self, engine: &EngineId) {
         self.remove_from_group(SubjectHandle::of_engine(engine));
     }
--- a/crates/core/tests/pace_world/engines.rs
+++ b/crates/core/tests/pace_world/engines.rs
@@ -33,7 +33,7 @@
 
 #[derive(Clone, Debug)]
 pub struct SimulatedEngine {
-    /// Factor by which all work lasts longer.
+    /// Factor by which all work takes longer.
     pub lasting: f64,
     engine_index: u64,
     slowdown: (f64, f64, u64),
