--- a/crates/node/src/rate_limits/asking.rs
+++ b/crates/node/src/rate_limits/asking.rs
@@ -81,7 +81,7 @@
         Some(SlotOutcome::NotOwner { .. }) | None => Slot::NotInTime(SILENT_KEEPER),
     };
     if let Slot::NotInTime(wait) = taken {
-        lock(&context.router).note_slot(notice.engine, wait, context.now());
+        lock(&context.router).record_slot_wait(notice.engine, wait, context.now());
     }
     Some((limit, taken))
 }
@@ -143,14 +143,14 @@
 ) -> SlotOutcome {
     let part = context.peers.part_of_limits(now);
     let own = context.peers.own_handle();
-    let slot = lock(&context.rate_limits.owner).take(own, engine, limit, part, max_wait, now);
+    let slot = lock(&context.rate_limits.owner).reserve(own, engine, limit, part, max_wait, now);
     match slot {
         Slot::After(wait) => SlotOutcome::Granted {
             wait_millis: wait.as_millis() as u32,
         },
         Slot::NotInTime(wait) => {
             // Others learn from this node's notices that they need not ask.
-            lock(&context.router).note_slot(engine, wait, now);
+            lock(&context.router).record_slot_wait(engine, wait, now);
             SlotOutcome::Denied {
                 wait_millis: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
             }
