--- a/crates/core/tests/pool_router.rs
+++ b/crates/core/tests/pool_router.rs
@@ -1,4 +1,4 @@
-//! Choices of the pool router: who reads a prompt, who runs its output, and what is never chosen.
+//! Selection of prefill and decode engines by the pool router, and engines that it must never select.
 
 #![allow(clippy::unwrap_used)]
 
@@ -54,7 +54,7 @@
     }
 }
 
-struct Asked {
+struct TestRequest {
     pool: PoolId,
     zone: ZoneId,
     prompt: PromptShape,
@@ -62,7 +62,7 @@
     excluded: Vec<EngineId>,
 }
 
-impl Asked {
+impl TestRequest {
     fn new(shared: u64) -> Self {
         let prompt = prompt(shared);
         Self {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The same shared part with another own one.
+    /// The same shared part followed by a different request-specific part.
     fn with_own_part(mut self, name: u64) -> Self {
         self.prompt.parts[1].name = name;
         self.prefixes = self.prompt.prefixes();
@@ -107,32 +107,36 @@
 }
 
 #[test]
-fn nodes_that_never_spoke_send_a_new_shared_part_to_the_same_engine() {
+fn nodes_without_communication_select_the_same_engine_for_a_new_shared_part() {
     let (one, other) = (router(&split_pool()), router(&split_pool()));
     let mut homes = std::collections::BTreeSet::new();
     for shared in 0..40 {
-        let asked = Asked::new(shared);
-        let home = split(one.choose(&asked.query(), NOW)).0;
-        assert_eq!(home, split(other.choose(&asked.query(), NOW)).0);
+        let request = TestRequest::new(shared);
+        let home = split(one.choose(&request.query(), NOW)).0;
+        assert_eq!(home, split(other.choose(&request.query(), NOW)).0);
         homes.insert(home);
     }
-    assert_eq!(homes.len(), 3, "and spread the parts over all of them");
+    assert_eq!(
+        homes.len(),
+        3,
+        "the parts are distributed over all prefill engines"
+    );
 }
 
 #[test]
-fn a_queue_sends_a_prompt_elsewhere_and_its_held_part_is_fetched() {
+fn a_queue_diverts_a_prompt_to_another_engine_that_fetches_the_held_part() {
     let mut router = router(&split_pool());
-    let asked = Asked::new(1);
-    let home = EngineId::new(split(router.choose(&asked.query(), NOW)).0);
-    let ticket = router.on_prompt_sent(&home, &asked.query(), NOW);
-    router.on_prompt_prefilled(&ticket, &asked.prefixes, NOW + Duration::from_millis(400));
+    let request = TestRequest::new(1);
+    let home = EngineId::new(split(router.choose(&request.query(), NOW)).0);
+    let ticket = router.on_prompt_sent(&home, &request.query(), NOW);
+    router.on_prompt_prefilled(&ticket, &request.prefixes, NOW + Duration::from_millis(400));
     let later = NOW + Duration::from_millis(500);
     assert_eq!(
-        router.fetch_source(&home, &asked.query(), later),
+        router.fetch_source(&home, &request.query(), later),
         None,
-        "it holds the part itself"
+        "the engine holds the part itself"
     );
-    let asked = asked.with_own_part(78);
+    let request = request.with_own_part(78);
     let work = PeerLoad {
         prompt_tokens: [0, 200_000, 0, 0],
         requests: 10,
@@ -150,27 +154,27 @@
         &[(handle, work)],
         later,
     );
-    let elsewhere = EngineId::new(split(router.choose(&asked.query(), later)).0);
+    let elsewhere = EngineId::new(split(router.choose(&request.query(), later)).0);
     assert_ne!(elsewhere, home);
     let source = router.engine(&home).unwrap().engine.address;
     assert_eq!(
-        router.fetch_source(&elsewhere, &asked.query(), later),
+        router.fetch_source(&elsewhere, &request.query(), later),
         Some(source)
     );
     router.on_peer_load(&NodeId::new("other"), PeerLoadSlice::ALL, &[], later);
-    let again = EngineId::new(split(router.choose(&asked.query(), later)).0);
+    let again = EngineId::new(split(router.choose(&request.query(), later)).0);
     assert_eq!(
         router.engine(&again).unwrap().load(later).requests,
         0.0,
-        "the other node's work has ended"
+        "the peer's requests have ended"
     );
 }
 
 #[test]
-fn urgent_prompts_do_not_wait_for_lesser_ones() {
+fn urgent_prompts_do_not_wait_for_less_urgent_ones() {
     let mut router = router(&split_pool());
-    let asked = Asked::new(1);
-    let home = EngineId::new(split(router.choose(&asked.query(), NOW)).0);
+    let request = TestRequest::new(1);
+    let home = EngineId::new(split(router.choose(&request.query(), NOW)).0);
     let handle = router.engine(&home).unwrap().handle;
     let work = PeerLoad {
         prompt_tokens: [0, 0, 0, 500_000],
@@ -183,11 +187,11 @@
         min_event_gap_limit_millis: 0,
     };
     router.on_peer_load(&NodeId::new("other"), PeerLoadSlice::ALL, &[(handle, work)], NOW);
-    assert_eq!(split(router.choose(&asked.query(), NOW)).0, home.as_str());
+    assert_eq!(split(router.choose(&request.query(), NOW)).0, home.as_str());
 }
 
 #[test]
-fn what_leaves_is_gone_changes_or_lacks_the_model_is_never_chosen() {
+fn leaving_delisted_reassigned_and_unsuitable_engines_are_never_selected() {
     let mut engines = split_pool();
     engines[0].leaving = true;
     engines[1].models = vec!["other".to_owned()];
@@ -195,24 +199,27 @@
     let mut router = router(&engines);
     router.on_engine_delisted(&EngineId::new("d2"), false, NOW);
     for shared in 0..20 {
-        let asked = Asked::new(shared);
+        let request = TestRequest::new(shared);
         assert_eq!(
-            split(router.choose(&asked.query(), NOW)),
+            split(router.choose(&request.query(), NOW)),
             ("p3".to_owned(), "d3".to_owned())
         );
     }
     router.record_stage_order(&EngineId::new("p3"), EngineStage::Decode, NOW);
-    let route = router.choose(&Asked::new(1).query(), NOW);
+    let route = router.choose(&TestRequest::new(1).query(), NOW);
     assert!(
         matches!(route, PoolRoute::Whole(engine) if engine.id.as_str() == "d3"),
-        "nobody else reads prompts"
+        "no prefill engine is left"
     );
     router.on_engine_delisted(&EngineId::new("d3"), false, NOW);
-    assert_eq!(router.choose(&Asked::new(1).query(), NOW), PoolRoute::Nowhere);
+    assert_eq!(
+        router.choose(&TestRequest::new(1).query(), NOW),
+        PoolRoute::Nowhere
+    );
 }
 
 #[test]
-fn an_engine_that_vanishes_while_the_store_is_in_trouble_is_used_a_moment_longer() {
+fn an_engine_delisted_during_store_trouble_stays_in_use_for_a_limited_time() {
     let mut router = router(&[
         engine("p1", EngineStage::Prefill),
         engine("d1", EngineStage::Decode),
@@ -220,70 +227,80 @@
     for id in ["p1", "d1"] {
         router.on_engine_delisted(&EngineId::new(id), true, NOW);
     }
-    let asked = Asked::new(1);
+    let request = TestRequest::new(1);
     assert!(matches!(
-        router.choose(&asked.query(), NOW),
+        router.choose(&request.query(), NOW),
         PoolRoute::Split { .. }
     ));
     let later = NOW + Duration::from_secs(2);
-    assert_eq!(router.choose(&asked.query(), later), PoolRoute::Nowhere);
+    assert_eq!(router.choose(&request.query(), later), PoolRoute::Nowhere);
     router.on_engine_listed(engine("p1", EngineStage::Prefill));
     router.on_engine_listed(engine("d1", EngineStage::Decode));
     assert!(matches!(
-        router.choose(&asked.query(), later),
+        router.choose(&request.query(), later),
         PoolRoute::Split { .. }
     ));
 }
 
 #[test]
-fn an_engine_that_broke_is_left_alone_unless_there_is_no_other() {
+fn an_engine_in_backoff_is_avoided_unless_there_is_no_other() {
     let mut router = router(&[
         engine("p1", EngineStage::Prefill),
         engine("d1", EngineStage::Decode),
         engine("d2", EngineStage::Decode),
     ]);
-    let asked = Asked::new(1);
-    let ticket = router.on_output_sent(&EngineId::new("d1"), &asked.query(), KvCacheSource::Transfer, NOW);
+    let request = TestRequest::new(1);
+    let ticket = router.on_output_sent(
+        &EngineId::new("d1"),
+        &request.query(),
+        KvCacheSource::Transfer,
+        NOW,
+    );
     router.on_broken(&ticket, NOW);
-    assert_eq!(split(router.choose(&asked.query(), NOW)).1, "d2");
-    let ticket = router.on_output_sent(&EngineId::new("d2"), &asked.query(), KvCacheSource::Transfer, NOW);
+    assert_eq!(split(router.choose(&request.query(), NOW)).1, "d2");
+    let ticket = router.on_output_sent(
+        &EngineId::new("d2"),
+        &request.query(),
+        KvCacheSource::Transfer,
+        NOW,
+    );
     router.on_refused(&ticket, EngineRefusalReason::QueueFull, NOW);
     assert!(matches!(
-        router.choose(&asked.query(), NOW),
+        router.choose(&request.query(), NOW),
         PoolRoute::Split { .. }
     ));
 }
 
 #[test]
-fn what_an_engine_holds_is_told_to_other_nodes() {
+fn prefixes_held_by_an_engine_are_published_to_peers() {
     let (mut one, mut other) = (router(&split_pool()), router(&split_pool()));
-    let asked = Asked::new(5);
-    let ticket = one.on_prompt_sent(&EngineId::new("p2"), &asked.query(), NOW);
-    one.on_prompt_prefilled(&ticket, &asked.prefixes, NOW);
+    let request = TestRequest::new(5);
+    let ticket = one.on_prompt_sent(&EngineId::new("p2"), &request.query(), NOW);
+    one.on_prompt_prefilled(&ticket, &request.prefixes, NOW);
     let news = one.take_prefix_updates(8);
     assert!(one.take_prefix_updates(8).is_empty());
     other.on_prefix_updates(&news, NOW);
     let source = other.engine(&EngineId::new("p2")).unwrap().engine.address;
     assert_eq!(
-        other.fetch_source(&EngineId::new("p1"), &asked.query(), NOW),
+        other.fetch_source(&EngineId::new("p1"), &request.query(), NOW),
         Some(source)
     );
     let mut started = router(&split_pool());
     started.on_prefix_updates(&other.prefix_snapshot(), NOW);
     assert_eq!(
-        started.fetch_source(&EngineId::new("p1"), &asked.query(), NOW),
+        started.fetch_source(&EngineId::new("p1"), &request.query(), NOW),
         Some(source)
     );
 }
 
 #[test]
-fn what_is_believed_to_be_held_never_outgrows_the_engine() {
+fn estimated_prefixes_never_exceed_the_cache_capacity() {
     let mut router = router(&split_pool());
     for shared in 0..2_000 {
-        let asked = Asked::new(shared);
+        let request = TestRequest::new(shared);
         router.on_prefix_list(
             &EngineId::new("p1"),
-            &asked.prefixes,
+            &request.prefixes,
             NOW + Duration::from_millis(shared),
         );
     }
@@ -296,18 +313,18 @@
         .sum();
     assert!(tokens as f64 <= state.prefixes.capacity_tokens());
     assert!(
-        state.prefixes.held_tokens(&Asked::new(1_999).prefixes) > 0,
-        "the newest stays"
+        state.prefixes.held_tokens(&TestRequest::new(1_999).prefixes) > 0,
+        "the most recent block is kept"
     );
     assert_eq!(
-        state.prefixes.held_tokens(&Asked::new(0).prefixes[..1]),
+        state.prefixes.held_tokens(&TestRequest::new(0).prefixes[..1]),
         0,
-        "the oldest went"
+        "the least recently used block is evicted"
     );
 }
 
 #[test]
-fn a_word_about_some_engines_leaves_what_was_said_of_the_others() {
+fn a_load_report_replaces_only_its_own_slice() {
     let mut router = router(&split_pool());
     let node = NodeId::new("other");
     let work = PeerLoad {
@@ -334,7 +351,7 @@
     };
     assert!(
         !of_slice(0).is_empty() && !of_slice(1).is_empty(),
-        "the engines fall into both"
+        "each slice contains engines"
     );
     router.on_peer_load(&node, slice(0), &of_slice(0), NOW);
     router.on_peer_load(&node, slice(1), &of_slice(1), NOW);
@@ -349,7 +366,7 @@
     assert_eq!(
         busy(&router),
         handles.len(),
-        "a message about nothing changes nothing"
+        "a report with an empty slice changes nothing"
     );
     router.on_peer_load(&node, slice(1), &[], NOW);
     assert_eq!(busy(&router), of_slice(0).len());
@@ -358,84 +375,91 @@
 }
 
 #[test]
-fn nodes_that_choose_at_the_same_moment_do_not_all_choose_one_of_several_equal_engines() {
+fn simultaneous_selections_are_distributed_over_equal_engines() {
     let equal: Vec<PoolEngine> = (0..12)
         .map(|number| engine(&format!("p{number}"), EngineStage::Prefill))
         .chain([engine("d1", EngineStage::Decode)])
         .collect();
     let router = router(&equal);
     let chosen = |shared: u64, draw: u64| {
-        let asked = Asked::new(shared);
+        let request = TestRequest::new(shared);
         let query = PoolQuery {
             prefixes: &[],
             draw,
-            ..asked.query()
+            ..request.query()
         };
         split(router.choose(&query, NOW)).0
     };
     let distinct: std::collections::BTreeSet<String> = (0..100).map(|draw| chosen(1, draw)).collect();
     assert!(distinct.len() >= 10, "{distinct:?}");
-    assert_eq!(chosen(1, 5), chosen(1, 5), "the same draw, the same choice");
+    assert_eq!(
+        chosen(1, 5),
+        chosen(1, 5),
+        "the same random number gives the same selection"
+    );
 }
 
 #[test]
-fn the_draw_never_outweighs_a_queue() {
+fn the_random_addition_never_outweighs_a_queue() {
     let mut router = router(&split_pool());
-    let asked = Asked::new(1);
+    let request = TestRequest::new(1);
     for id in ["p1", "p2"] {
-        router.on_prompt_sent(&EngineId::new(id), &asked.query(), NOW);
+        router.on_prompt_sent(&EngineId::new(id), &request.query(), NOW);
     }
     for draw in 0..100 {
         let query = PoolQuery {
             prefixes: &[],
             draw,
-            ..asked.query()
+            ..request.query()
         };
         assert_eq!(split(router.choose(&query, NOW)).0, "p3");
     }
 }
 
-/// Found on the grown deployments: a tenth of the prompt tokens were shared parts read again, at engines that other
-/// nodes took for holders long after requests' own parts had pushed those parts out.
+/// Guards against stale cache estimates at peers: request-specific parts must evict shared parts there too.
 #[test]
-fn requests_own_parts_push_shared_ones_out_of_other_nodes_beliefs_too() {
-    let mut teller = router(&split_pool());
-    let mut hearer = router(&split_pool());
-    let shared = Asked::new(1);
+fn request_specific_parts_evict_shared_parts_from_the_estimates_of_peers() {
+    let mut sender = router(&split_pool());
+    let mut receiver = router(&split_pool());
+    let shared = TestRequest::new(1);
     let engine = EngineId::new("p1");
-    let mut read = |asked: &Asked, at: MonotonicTime| {
-        let ticket = teller.on_prompt_sent(&engine, &asked.query(), at);
-        teller.on_prompt_prefilled(&ticket, &asked.prefixes, at);
-        hearer.on_prefix_updates(&teller.take_prefix_updates(64), at);
-        let state = hearer.engine(&engine).unwrap();
+    let mut read = |request: &TestRequest, at: MonotonicTime| {
+        let ticket = sender.on_prompt_sent(&engine, &request.query(), at);
+        sender.on_prompt_prefilled(&ticket, &request.prefixes, at);
+        receiver.on_prefix_updates(&sender.take_prefix_updates(64), at);
+        let state = receiver.engine(&engine).unwrap();
         state.prefixes.held_tokens(&shared.prefixes[..1])
     };
     assert_eq!(read(&shared, NOW), 13_000);
     let mut last = 0;
     for number in 0..200 {
-        let asked = Asked::new(2).with_own_part(1_000 + number);
-        last = read(&asked, NOW + Duration::from_millis(number));
+        let request = TestRequest::new(2).with_own_part(1_000 + number);
+        last = read(&request, NOW + Duration::from_millis(number));
     }
     assert_eq!(
         last, 0,
-        "200 own parts of 3,000 tokens are more than the memory of 400,000"
+        "200 request-specific parts of 3,000 tokens exceed the capacity of 400,000"
     );
 }
 
 #[test]
-fn a_held_part_is_fetched_from_the_engine_that_used_it_last() {
+fn a_held_part_is_fetched_from_its_most_recent_user() {
     let mut router = router(&split_pool());
-    let asked = Asked::new(1);
+    let request = TestRequest::new(1);
     for (id, millis) in [("p3", 0), ("p1", 10), ("p2", 20), ("p1", 30)] {
         let at = NOW + Duration::from_millis(millis);
-        router.on_prefixes_held(&EngineId::new(id), &asked.prefixes[..1], at);
+        router.on_prefixes_held(&EngineId::new(id), &request.prefixes[..1], at);
     }
-    let source = router.fetch_source(&EngineId::new("d1"), &asked.query(), NOW + Duration::from_secs(1));
+    let source = router.fetch_source(
+        &EngineId::new("d1"),
+        &request.query(),
+        NOW + Duration::from_secs(1),
+    );
     assert_eq!(source, Some(engine("p1", EngineStage::Prefill).address));
 }
 
 #[test]
-fn of_a_large_pool_in_use_as_a_whole_every_engine_is_looked_at() {
+fn every_engine_of_a_large_pool_is_considered_when_the_whole_pool_is_in_use() {
     let pool: Vec<PoolEngine> = (0..1_000)
         .map(|number| engine(&format!("p{number}"), EngineStage::Prefill))
         .chain((0..1_000).map(|number| engine(&format!("d{number}"), EngineStage::Decode)))
@@ -449,52 +473,55 @@
         ..PoolWeights::default()
     };
     let router = router_with(weights, 64, Some(4e-7), &pool);
-    let asked = Asked::new(1);
+    let request = TestRequest::new(1);
     let chosen = |draw: u64, excluded: &[EngineId]| {
         let query = PoolQuery {
             draw,
             excluded,
             prefixes: &[],
-            ..asked.query()
+            ..request.query()
         };
         split(router.choose(&query, NOW)).0
     };
     let distinct: std::collections::BTreeSet<String> = (0..200).map(|draw| chosen(draw, &[])).collect();
     assert!(
         distinct.len() > 100,
-        "requests spread over the pool: {}",
+        "requests are distributed over the pool: {}",
         distinct.len()
     );
     let all_but_one: Vec<EngineId> = (1..1_000)
         .map(|number| EngineId::new(format!("p{number}")))
         .collect();
     for draw in 0..20 {
-        assert_eq!(chosen(draw, &all_but_one), "p0", "found wherever it is");
+        assert_eq!(
+            chosen(draw, &all_but_one),
+            "p0",
+            "the only engine left is selected"
+        );
     }
 }
 
-/// Found on the large deployments: of 160 engines 96 were looked at, so that two of five requests missed the engine
-/// that held their shared part, and had it read again elsewhere.
+/// Guards against a selection that examines only part of a large pool and misses the engine that holds the prefix.
 #[test]
-fn the_holder_of_a_part_is_found_in_a_large_pool() {
+fn the_engine_that_holds_a_part_is_found_in_a_large_pool() {
     let pool: Vec<PoolEngine> = (0..80)
         .map(|number| engine(&format!("p{number}"), EngineStage::Prefill))
         .chain((0..80).map(|number| engine(&format!("d{number}"), EngineStage::Decode)))
         .collect();
     let mut router = router(&pool);
-    let asked = Asked::new(1);
-    router.on_prefixes_held(&EngineId::new("p42"), &asked.prefixes[..1], NOW);
+    let request = TestRequest::new(1);
+    router.on_prefixes_held(&EngineId::new("p42"), &request.prefixes[..1], NOW);
     for draw in 0..100 {
         let query = PoolQuery {
             draw,
-            ..asked.query()
+            ..request.query()
         };
         assert_eq!(split(router.choose(&query, NOW)).0, "p42", "draw {draw}");
     }
 }
 
 #[test]
-fn spot_engines_are_left_alone_while_their_zone_takes_others_back() {
+fn spot_engines_are_avoided_while_others_of_their_zone_are_reclaimed() {
     let spot = |id: &str, zone: &str, leaving: bool| PoolEngine {
         zone: ZoneId::new(zone),
         spot: true,
@@ -508,15 +535,22 @@
     let mut router = router_with(PoolWeights::default(), 8, None, &listed);
     assert!(!router.update_reclaimed_zones(NOW));
     router.on_engine_listed(spot("a0", "zone-a", true));
-    assert!(!router.update_reclaimed_zones(NOW), "one may be replaced");
+    assert!(
+        !router.update_reclaimed_zones(NOW),
+        "a single leaving engine may be a replacement"
+    );
     router.on_engine_listed(spot("a1", "zone-a", true));
     router.on_engine_listed(spot("a2", "zone-a", true));
     assert!(router.update_reclaimed_zones(NOW));
-    assert_eq!(router.available_engine_count(NOW), 1, "the one of the other zone");
+    assert_eq!(
+        router.available_engine_count(NOW),
+        1,
+        "only the engine of the other zone is available"
+    );
     let later = NOW + Duration::from_secs(4);
     assert_eq!(
         router.available_engine_count(later),
         4,
-        "those that stay after all"
+        "engines that were not reclaimed are available again"
     );
 }
--- a/crates/core/tests/pool_support/mod.rs
+++ b/crates/core/tests/pool_support/mod.rs
@@ -1,4 +1,4 @@
-//! One pool of engines that run a model, for the tests of choices among them.
+//! A pool with one model, for tests of engine selection.
 #![allow(dead_code)]
 
 use shelfjunction_core::forwarding::{CallerLimits, ForwardingConfig, ModelTraits, PoolConfig, PoolId};
@@ -6,12 +6,12 @@
 use shelfjunction_core::routing::pool::{EngineStage, PoolEngine, PoolRouter, PoolWeights};
 use std::time::Duration;
 
-/// The pool.
+/// Identifier of the pool.
 pub fn pool() -> PoolId {
     PoolId("pool".to_owned())
 }
 
-/// One of its engines, in zone-a.
+/// An engine of the pool in zone-a.
 pub fn engine_with(id: &str, stage: EngineStage, places: u32) -> PoolEngine {
     PoolEngine {
         id: EngineId::new(id),
@@ -27,7 +27,7 @@
     }
 }
 
-/// A router that knows the pool and the given engines; absent seconds: engines can't fetch from each other.
+/// A router with the pool and the given engines. Without `move_seconds` engines can't transfer KV caches.
 pub fn router_with(
     weights: PoolWeights,
     places: u32,
