--- a/crates/core/src/engine_signals/mod.rs
+++ b/crates/core/src/engine_signals/mod.rs
@@ -15,21 +15,21 @@
     /// Whether the engine drains: it finishes its requests and accepts no new ones.
     pub draining: bool,
     /// Time for which the engine wants no requests from this node.
-    pub backoff: AnsweredBackoff,
+    pub backoff: ResponseBackoff,
     /// Name of a header that the adapter does not recognize, so that an unsupported signal can be reported.
     pub unknown_field: Option<String>,
 }
 
 /// Backoff that an engine requests from the node whose request it refused.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub enum AnsweredBackoff {
+pub enum ResponseBackoff {
     /// The response contains no backoff.
     #[default]
     Absent,
     /// Backoff of the given duration.
-    For(Duration),
+    Requested(Duration),
     /// Header name and value that cannot be parsed as a duration.
-    Unreadable(String),
+    Invalid(String),
 }
 
 impl EngineSignals {
@@ -37,7 +37,7 @@
     pub fn merge(&mut self, later: Self) {
         self.rate_limit = later.rate_limit;
         self.draining |= later.draining;
-        if later.backoff != AnsweredBackoff::Absent {
+        if later.backoff != ResponseBackoff::Absent {
             self.backoff = later.backoff;
         }
         self.unknown_field = later.unknown_field.or(self.unknown_field.take());
--- a/crates/core/src/engine_signals/register.rs
+++ b/crates/core/src/engine_signals/register.rs
@@ -24,7 +24,7 @@
 
 impl SignalRegister {
     /// Records that an engine drains, and returns whether that is new. A drain is final for a start of an engine.
-    pub fn note_draining(&mut self, engine: SubjectHandle) -> bool {
+    pub fn record_draining(&mut self, engine: SubjectHandle) -> bool {
         if !self.draining.insert(engine) {
             return false;
         }
@@ -43,7 +43,7 @@
     }
 
     /// Records a backoff that an engine requested, and returns when it ends. A request never shortens an earlier one.
-    pub fn note_backoff(
+    pub fn record_backoff(
         &mut self,
         engine: SubjectHandle,
         backoff: Duration,
--- a/crates/core/src/routing/pool/reclaims.rs
+++ b/crates/core/src/routing/pool/reclaims.rs
@@ -46,8 +46,8 @@
         self.engine.spot && self.is_active()
     }
 
-    /// Whether the zone reclaims its spot engines, so that this one may be drained although the list does not show it
-    /// yet.
+    /// Whether the zone reclaims its spot engines, so that this one may have to drain although the list does not show
+    /// it yet.
     pub(super) fn is_being_reclaimed(&self, now: MonotonicTime) -> bool {
         self.reclaim_seen_at
             .is_some_and(|at| now.since(at) < RECLAIM_AVOIDANCE_DURATION)
--- a/crates/core/src/routing/pool/signals.rs
+++ b/crates/core/src/routing/pool/signals.rs
@@ -46,9 +46,9 @@
         self.backoff_end.map_or(Duration::ZERO, |end| end.since(now))
     }
 
-    /// Whether the engine's backoff allows a request of this node. Allows none before its end and a growing share
-    /// after it, selected by the query's random draw and the engine's handle. Queries of other nodes are always
-    /// allowed.
+    /// Whether the engine's backoff allows a query. Before the end of the backoff, no query of this node is allowed.
+    /// After it, a growing share is, selected by the query's random draw and the engine's handle, or all if
+    /// `last_resort` is set. Queries of other nodes are always allowed.
     pub(super) fn backoff_admits(&self, query: &PoolQuery<'_>, now: MonotonicTime) -> bool {
         let Some(end) = self.backoff_end.filter(|_| query.from_this_node) else {
             return true;
@@ -61,7 +61,7 @@
 impl PoolRouter {
     /// Records that an engine drains, and returns whether that is new. Its capacity is removed at once.
     pub fn on_draining(&mut self, engine: SubjectHandle) -> bool {
-        if !self.signals.note_draining(engine) {
+        if !self.signals.record_draining(engine) {
             return false;
         }
         if let Some(state) = self.state_of(engine) {
@@ -92,7 +92,7 @@
     ) -> MonotonicTime {
         let end = self
             .signals
-            .note_backoff(SubjectHandle::of_engine(engine), backoff, now);
+            .record_backoff(SubjectHandle::of_engine(engine), backoff, now);
         if let Some(state) = self.engines.get_mut(engine) {
             state.backoff_end = Some(end);
         }
@@ -128,13 +128,13 @@
             state.engine.stage == stage && state.engine.pool == *query.pool && state.takes_work(now, true)
         });
         let waits = engines.map(|state| {
-            let slot = state.slot_wait(now);
-            let slot = if slot <= query.slot_max_wait {
+            let slot_wait = state.slot_wait(now);
+            let slot_wait = if slot_wait <= query.slot_max_wait {
                 Duration::ZERO
             } else {
-                slot
+                slot_wait
             };
-            state.remaining_backoff(now).max(slot)
+            state.remaining_backoff(now).max(slot_wait)
         });
         waits.min()
     }
--- a/crates/node/src/engine_signals/mod.rs
+++ b/crates/node/src/engine_signals/mod.rs
@@ -8,7 +8,7 @@
 
 use crate::context::Context;
 use crate::rate_limits;
-use shelfjunction_core::engine_signals::{AnsweredBackoff, EngineSignals};
+use shelfjunction_core::engine_signals::{EngineSignals, ResponseBackoff};
 use shelfjunction_core::identity::EngineId;
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::rate_limit::ResponseLimit;
@@ -66,9 +66,9 @@
         }
     }
     match &signals.backoff {
-        AnsweredBackoff::Absent => {}
-        AnsweredBackoff::For(backoff) => on_backoff(context, engine, *backoff),
-        AnsweredBackoff::Unreadable(field) => {
+        ResponseBackoff::Absent => {}
+        ResponseBackoff::Requested(backoff) => on_backoff(context, engine, *backoff),
+        ResponseBackoff::Invalid(field) => {
             log::warn!(engine = engine.as_str(), field = field.as_str(); "engine_backoff_unreadable");
         }
     }
