--- a/crates/core/src/routing/pool/pauses.rs
+++ b/crates/core/src/routing/pool/pauses.rs
@@ -133,9 +133,9 @@
         let Some(max_event_gap) = load.min_event_gap_limit.filter(|_| prompt_tokens > 0.0) else {
             return 0.0;
         };
-        let now = load.all_prompt_tokens();
-        let before = late_probability(self.pause(now), max_event_gap);
-        let after = late_probability(self.pause(now + prompt_tokens), max_event_gap);
+        let queued_tokens = load.all_prompt_tokens();
+        let before = late_probability(self.pause(queued_tokens), max_event_gap);
+        let after = late_probability(self.pause(queued_tokens + prompt_tokens), max_event_gap);
         let headroom = min_prefill_wait.map_or(1.0, |wait| 1.0 - late_probability(wait, max_event_gap));
         load.streams * headroom * (after - before)
     }
@@ -149,9 +149,9 @@
     }
 }
 
-/// Probability that a stream exceeds its bound, given the expected pause in seconds.
-pub fn late_probability(pause: f64, max_event_gap: Duration) -> f64 {
-    let ratio = pause / max_event_gap.as_secs_f64().max(f64::MIN_POSITIVE);
+/// Probability that a stream exceeds its bound, given the expected pause and the bound.
+pub fn late_probability(pause_seconds: f64, max_event_gap: Duration) -> f64 {
+    let ratio = pause_seconds / max_event_gap.as_secs_f64().max(f64::MIN_POSITIVE);
     let power = ratio.powi(4);
     if power.is_finite() {
         power / (1.0 + power)
