--- a/crates/core/src/placing/placement_table.rs
+++ b/crates/core/src/placing/placement_table.rs
@@ -412,7 +412,7 @@
                     router.on_pause(&ticket, f64::from(*pause) * PAUSE_UNIT, now);
                 }
                 router.on_output_ended(&ticket, now);
-                router.on_answered(&ticket);
+                router.on_completed(&ticket);
             }
             DispatchProgress::Refused {
                 reason,
@@ -423,7 +423,7 @@
                 }
                 router.on_refused(&ticket, *reason, now);
             }
-            DispatchProgress::ConnectionFailed => router.on_broken(&ticket, now),
+            DispatchProgress::ConnectionFailed => router.on_connection_failed(&ticket, now),
             DispatchProgress::Unresponsive => router.on_silence(&ticket, now),
             DispatchProgress::Abandoned => {
                 self.refund_charge(router, now);
--- a/crates/core/src/routing/pool/risk.rs
+++ b/crates/core/src/routing/pool/risk.rs
@@ -60,6 +60,6 @@
         } else {
             0.0
         };
-        self.breaks.at(now).max(reclaim_risk)
+        self.failure_rate.at(now).max(reclaim_risk)
     }
 }
