--- a/crates/core/src/placing/placement_table.rs
+++ b/crates/core/src/placing/placement_table.rs
@@ -30,7 +30,7 @@
 /// Interval between removals of expired requests.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Fraction of the longest harmless pause that one unit in a report represents.
+/// Fraction of the maximum event gap that one unit in a report represents.
 const PAUSE_UNIT: f64 = 0.01;
 
 /// Dispatch of a request that is currently recorded in the router.
--- a/crates/core/src/placing/question.rs
+++ b/crates/core/src/placing/question.rs
@@ -147,7 +147,7 @@
     },
     /// The response ended successfully.
     Answered {
-        /// Sample of the pauses between events, in percent of the longest harmless pause.
+        /// Sample of the pauses between events, in percent of the maximum event gap.
         pauses: Vec<u16>,
     },
     /// The engine refused the dispatch before running it.
@@ -159,9 +159,9 @@
     },
     /// The connection broke or was refused.
     ConnectionFailed,
-    /// An output paused for longer than the longest harmless pause and continues.
+    /// An output paused for longer than the maximum event gap and continues.
     Paused {
-        /// Length of the pause, in percent of the longest harmless pause.
+        /// Length of the pause, in percent of the maximum event gap.
         hundredths: u16,
     },
     /// The dispatch ended for a reason unrelated to the engine, or the placer's answer is no longer needed.
--- a/crates/core/tests/placer_line.rs
+++ b/crates/core/tests/placer_line.rs
@@ -1,4 +1,4 @@
-//! Who takes the places of those that choose engines for all, when some of them are lost.
+//! Replacement of lost placers: as many nodes as needed take over, and only those that rank next.
 
 use shelfjunction_core::membership::subject::SubjectHandle;
 use shelfjunction_core::placing::placer_set::{
@@ -8,7 +8,7 @@
 
 const PLACES: usize = 8;
 
-/// Nodes of which one in twenty has more processor than the others.
+/// Candidates; every twentieth has more processor capacity than the others.
 fn nodes(count: usize) -> Vec<Candidate> {
     (0..count)
         .map(|number| Candidate {
@@ -18,8 +18,8 @@
         .collect()
 }
 
-/// Nodes that hold themselves for placers where those of `lost` have fallen silent.
-fn placing(nodes: &[Candidate], lost: &[SubjectHandle], vacant_for: Duration) -> usize {
+/// Number of nodes that consider themselves placers after the nodes `lost` have become unresponsive.
+fn count_placers(nodes: &[Candidate], lost: &[SubjectHandle], vacancy_age: Duration) -> usize {
     let before = PlacerSet::select(nodes, PLACES);
     let presence = |node: &Candidate| {
         if lost.contains(&node.node) {
@@ -35,15 +35,15 @@
         .filter(|own| {
             let others = nodes.iter().filter(|other| other.node != own.node);
             let others = others.map(|other| (*other, presence(other)));
-            should_place(**own, others, PLACES, vacant_for)
+            should_place(**own, others, PLACES, vacancy_age)
         })
         .count()
 }
 
 #[test]
-fn at_the_start_as_many_place_as_should() {
+fn the_configured_number_of_nodes_place_at_startup() {
     let nodes = nodes(985);
-    let placing = nodes.iter().filter(|own| {
+    let placers = nodes.iter().filter(|own| {
         let others = nodes.iter().filter(|other| other.node != own.node);
         should_place(
             **own,
@@ -52,30 +52,34 @@
             Duration::ZERO,
         )
     });
-    assert_eq!(placing.count(), PLACES);
+    assert_eq!(placers.count(), PLACES);
 }
 
 #[test]
-fn the_loss_of_one_is_made_good_by_one_in_a_fleet_of_any_size() {
+fn one_lost_placer_is_replaced_by_one_node_in_fleets_of_any_size() {
     for size in [60, 300, 985, 1_970] {
         let nodes = nodes(size);
         let lost = &PlacerSet::select(&nodes, PLACES).placers()[..1].to_vec();
-        assert_eq!(placing(&nodes, lost, Duration::ZERO), PLACES, "of {size} nodes");
+        assert_eq!(
+            count_placers(&nodes, lost, Duration::ZERO),
+            PLACES,
+            "of {size} nodes"
+        );
     }
 }
 
 #[test]
-fn the_loss_of_all_is_made_good_by_as_many() {
+fn if_all_placers_are_lost_the_same_number_replaces_them() {
     let nodes = nodes(985);
     let lost = PlacerSet::select(&nodes, PLACES).placers().to_vec();
-    assert_eq!(placing(&nodes, &lost, Duration::ZERO), PLACES);
+    assert_eq!(count_placers(&nodes, &lost, Duration::ZERO), PLACES);
 }
 
 #[test]
-fn where_those_that_come_next_stay_away_others_follow_by_turns() {
+fn one_more_node_takes_over_per_interval_while_vacancies_remain() {
     let nodes = nodes(985);
     let lost = PlacerSet::select(&nodes, PLACES).placers().to_vec();
-    let after = |millis| placing(&nodes, &lost, Duration::from_millis(millis));
+    let after = |millis| count_placers(&nodes, &lost, Duration::from_millis(millis));
     assert_eq!(
         [after(399), after(400), after(1_200)],
         [PLACES, PLACES + 1, PLACES + 3]
@@ -83,10 +87,10 @@
 }
 
 #[test]
-fn the_first_in_line_know_it_from_any_part_of_the_list_and_few_others_think_so() {
+fn all_placers_and_few_other_nodes_read_the_whole_list() {
     let nodes = nodes(985);
     let part = &nodes[..64];
-    let in_line: Vec<&Candidate> = nodes
+    let whole_list_readers: Vec<&Candidate> = nodes
         .iter()
         .filter(|own| may_become_placer(**own, part, PLACES))
         .collect();
@@ -95,11 +99,11 @@
         placers
             .placers()
             .iter()
-            .all(|placer| in_line.iter().any(|node| node.node == *placer))
+            .all(|placer| whole_list_readers.iter().any(|node| node.node == *placer))
     );
     assert!(
-        in_line.len() < 985 / 2,
+        whole_list_readers.len() < 985 / 2,
         "{} nodes read the whole list",
-        in_line.len()
+        whole_list_readers.len()
     );
 }
--- a/crates/core/tests/placing.rs
+++ b/crates/core/tests/placing.rs
@@ -1,4 +1,4 @@
-//! Placers: who they are, and what they keep under lost, late and doubled datagrams.
+//! Selection of placers, and their bookkeeping under lost, delayed and duplicate datagrams.
 
 #![allow(clippy::unwrap_used)]
 
@@ -46,16 +46,16 @@
     use super::*;
 
     #[test]
-    fn nodes_that_see_the_same_fleet_in_another_order_name_the_same_placers() {
+    fn the_selection_does_not_depend_on_the_order_of_nodes() {
         let fleet = candidates(0..295, 120);
-        let mut turned = fleet.clone();
-        turned.reverse();
-        assert_eq!(PlacerSet::select(&fleet, 8), PlacerSet::select(&turned, 8));
+        let mut reversed = fleet.clone();
+        reversed.reverse();
+        assert_eq!(PlacerSet::select(&fleet, 8), PlacerSet::select(&reversed, 8));
         assert_eq!(PlacerSet::select(&fleet, 8).placers().len(), 8);
     }
 
     #[test]
-    fn nodes_with_more_processor_come_first() {
+    fn nodes_with_more_processor_capacity_rank_higher() {
         let small = candidates(0..280, 120);
         let large = candidates(280..295, 500);
         let fleet: Vec<Candidate> = small.iter().chain(&large).copied().collect();
@@ -65,38 +65,38 @@
         assert_eq!(
             without_large.placers().len(),
             8,
-            "any node will do where no large one lives"
+            "small nodes are selected if there are no large ones"
         );
     }
 
     #[test]
-    fn the_loss_of_a_placer_moves_only_what_it_had() {
+    fn the_loss_of_a_placer_moves_only_its_own_subjects() {
         let fleet = candidates(0..60, 250);
         let placers = PlacerSet::select(&fleet, 8);
         let lost = placers.placers()[0];
-        let left: Vec<Candidate> = fleet.iter().copied().filter(|one| one.node != lost).collect();
-        let smaller = PlacerSet::select(&left, 8);
-        let kept = placers
+        let survivors: Vec<Candidate> = fleet.iter().copied().filter(|one| one.node != lost).collect();
+        let smaller = PlacerSet::select(&survivors, 8);
+        let retained = placers
             .placers()
             .iter()
             .filter(|one| smaller.includes(**one))
             .count();
-        assert_eq!(kept, 7);
-        let nobody = |_| false;
-        let newcomer = *smaller
+        assert_eq!(retained, 7);
+        let none_excluded = |_| false;
+        let replacement = *smaller
             .placers()
             .iter()
             .find(|one| !placers.includes(**one))
             .unwrap();
         for subject in (0..2_000_u64).map(|number| number.wrapping_mul(0x9E37_79B9_7F4A_7C15)) {
-            let before = placers.placers_for(subject, nobody, 1)[0];
-            let now = smaller.placers_for(subject, nobody, 1)[0];
-            assert!(now == before || before == lost || now == newcomer);
+            let before = placers.placers_for(subject, none_excluded, 1)[0];
+            let now = smaller.placers_for(subject, none_excluded, 1)[0];
+            assert!(now == before || before == lost || now == replacement);
         }
     }
 
     #[test]
-    fn a_silent_placer_is_passed_over_for_the_second_choice() {
+    fn an_excluded_placer_is_replaced_by_the_second_choice() {
         let placers = PlacerSet::select(&candidates(0..60, 250), 8);
         for subject in (1..100_u64).map(|number| number << 40) {
             let [first, second] = placers.placers_for(subject, |_| false, 2)[..] else {
@@ -109,12 +109,12 @@
         }
         assert!(
             placers.placers_for(7, |_| true, 2).is_empty(),
-            "nobody is left to ask"
+            "all placers are excluded"
         );
     }
 
     #[test]
-    fn subjects_spread_over_the_placers() {
+    fn subjects_are_distributed_evenly_over_the_placers() {
         let placers = PlacerSet::select(&candidates(0..295, 120), 8);
         let mut counts = std::collections::BTreeMap::new();
         for subject in (0..8_000_u64).map(|number| number.wrapping_mul(0x9E37_79B9_7F4A_7C15)) {
@@ -129,7 +129,7 @@
     }
 
     #[test]
-    fn wrong_settings_are_named() {
+    fn invalid_settings_are_reported() {
         let settings = PlacingSettings {
             placers: 0,
             alone_up_to: 0,
@@ -161,7 +161,7 @@
     router_with(weights, 64, None, &engines)
 }
 
-fn question(number: u64, step: u32, kind: PlacementKind) -> PlacementQuery {
+fn query(number: u64, step: u32, kind: PlacementKind) -> PlacementQuery {
     let part = |name, tokens| PromptPart { name, tokens };
     PlacementQuery {
         key: RequestKey {
@@ -187,18 +187,18 @@
     }
 }
 
-fn admission(number: u64) -> PlacementQuery {
+fn admission_query(number: u64) -> PlacementQuery {
     let timing = RequestTiming {
         target: Duration::from_secs(1),
         remaining: Duration::from_secs(4),
         is_retry: false,
     };
-    question(number, 1, PlacementKind::Admission(timing))
+    query(number, 1, PlacementKind::Admission(timing))
 }
 
-fn output(number: u64, source: SubjectHandle) -> PlacementQuery {
+fn decode_query(number: u64, source: SubjectHandle) -> PlacementQuery {
     let excluded = Vec::new();
-    question(
+    query(
         number,
         2,
         PlacementKind::Decode {
@@ -222,23 +222,23 @@
         }
     }
 
-    fn ask(&mut self, question: &PlacementQuery, now: MonotonicTime) -> PlacementAnswer {
+    fn ask(&mut self, query: &PlacementQuery, now: MonotonicTime) -> PlacementAnswer {
         let settings = PoolAdmission::default();
         self.table
-            .answer(&mut self.router, question, &settings, now)
+            .answer(&mut self.router, query, &settings, now)
             .unwrap()
     }
 
-    fn tell(&mut self, question: &PlacementQuery, progress: DispatchProgress, now: MonotonicTime) {
+    fn report_progress(&mut self, query: &PlacementQuery, progress: DispatchProgress, now: MonotonicTime) {
         let report = ProgressReport {
-            key: question.key,
-            step: question.step,
+            key: query.key,
+            step: query.step,
             progress,
         };
         self.table.on_progress(&mut self.router, &report, now);
     }
 
-    /// Streams that have kept to the longest pause that their route allows.
+    /// Number of recorded streams that have kept to their maximum event gap.
     fn streams(&self) -> u32 {
         self.router
             .engines()
@@ -254,7 +254,7 @@
     }
 }
 
-fn reader(answer: &PlacementAnswer) -> SubjectHandle {
+fn prefill_engine(answer: &PlacementAnswer) -> SubjectHandle {
     match answer.placement {
         Placement::Split { prefill, .. } => prefill.engine,
         other => panic!("not split: {other:?}"),
@@ -262,60 +262,60 @@
 }
 
 #[test]
-fn a_request_is_counted_from_the_answer_to_its_end() {
+fn a_request_is_recorded_from_the_answer_to_its_end() {
     let mut placer = Placer::new();
-    let first = admission(1);
+    let first = admission_query(1);
     let answer = placer.ask(&first, NOW);
     assert_eq!(answer.verdict.unwrap().admission, Admission::InTime);
     assert_eq!(placer.requests(), 1);
-    let second = output(1, reader(&answer));
+    let second = decode_query(1, prefill_engine(&answer));
     let answer = placer.ask(&second, after(200));
     assert!(matches!(answer.placement, Placement::One(_)));
-    assert_eq!(placer.requests(), 1, "the prompt is read, the output counts now");
-    placer.tell(
+    assert_eq!(placer.requests(), 1, "prefill is done and decode is recorded");
+    placer.report_progress(
         &second,
         DispatchProgress::Started { reported_load: None },
         after(230),
     );
     let end = DispatchProgress::Answered { pauses: vec![20, 30] };
-    placer.tell(&second, end, after(300));
+    placer.report_progress(&second, end, after(300));
     assert_eq!((placer.requests(), placer.table.len()), (0, 0));
 }
 
 #[test]
-fn the_next_request_with_a_part_goes_where_the_part_was_read() {
+fn requests_with_a_cached_prefix_go_to_the_engine_that_holds_it() {
     let mut placer = Placer::new();
-    let answer = placer.ask(&admission(1), NOW);
-    let holder = reader(&answer);
-    placer.ask(&output(1, holder), after(200));
+    let answer = placer.ask(&admission_query(1), NOW);
+    let holder = prefill_engine(&answer);
+    placer.ask(&decode_query(1, holder), after(200));
     for number in 2..20 {
-        let answer = placer.ask(&admission(number), after(1_000 + 400 * number));
-        assert_eq!(reader(&answer), holder, "request {number}: {answer:?}");
-        let done = output(number, holder);
-        // As long as 1,000 tokens should take.
+        let answer = placer.ask(&admission_query(number), after(1_000 + 400 * number));
+        assert_eq!(prefill_engine(&answer), holder, "request {number}: {answer:?}");
+        let done = decode_query(number, holder);
+        // Expected prefill time of 1,000 tokens.
         placer.ask(&done, after(1_035 + 400 * number));
-        placer.tell(&done, DispatchProgress::Abandoned, after(1_300 + 400 * number));
+        placer.report_progress(&done, DispatchProgress::Abandoned, after(1_300 + 400 * number));
     }
 }
 
 #[test]
-fn a_doubled_question_gets_the_same_answer_and_counts_once() {
+fn a_duplicate_query_gets_the_same_answer_and_is_recorded_once() {
     let mut placer = Placer::new();
-    let first = placer.ask(&admission(1), NOW);
-    let again = placer.ask(&admission(1), after(3));
+    let first = placer.ask(&admission_query(1), NOW);
+    let again = placer.ask(&admission_query(1), after(3));
     assert_eq!(first, again);
     assert_eq!(placer.requests(), 1);
 }
 
 #[test]
-fn an_older_question_that_arrives_late_is_not_answered() {
+fn an_older_query_that_arrives_late_is_not_answered() {
     let mut placer = Placer::new();
-    let answer = placer.ask(&admission(1), NOW);
-    placer.ask(&output(1, reader(&answer)), after(200));
+    let answer = placer.ask(&admission_query(1), NOW);
+    placer.ask(&decode_query(1, prefill_engine(&answer)), after(200));
     let settings = PoolAdmission::default();
     let late = placer
         .table
-        .answer(&mut placer.router, &admission(1), &settings, after(210));
+        .answer(&mut placer.router, &admission_query(1), &settings, after(210));
     assert_eq!(late, None);
     assert_eq!(placer.requests(), 1);
 }
@@ -323,20 +323,20 @@
 #[test]
 fn a_report_about_an_earlier_answer_changes_nothing() {
     let mut placer = Placer::new();
-    let first = admission(1);
+    let first = admission_query(1);
     let answer = placer.ask(&first, NOW);
-    placer.ask(&output(1, reader(&answer)), after(200));
-    placer.tell(&first, DispatchProgress::ConnectionFailed, after(210));
-    assert_eq!(placer.requests(), 1, "the output is under way");
+    placer.ask(&decode_query(1, prefill_engine(&answer)), after(200));
+    placer.report_progress(&first, DispatchProgress::ConnectionFailed, after(210));
+    assert_eq!(placer.requests(), 1, "decode is in progress");
 }
 
 #[test]
-fn a_refused_dispatch_is_placed_anew_elsewhere() {
+fn a_refused_request_is_placed_on_another_engine() {
     let mut placer = Placer::new();
-    let first = admission(1);
-    let refuser = reader(&placer.ask(&first, NOW));
+    let first = admission_query(1);
+    let refusing_engine = prefill_engine(&placer.ask(&first, NOW));
     let reason = EngineRefusalReason::QueueFull;
-    placer.tell(
+    placer.report_progress(
         &first,
         DispatchProgress::Refused {
             reason,
@@ -345,25 +345,25 @@
         after(5),
     );
     assert_eq!(placer.requests(), 0);
-    let excluded = vec![refuser];
-    let answer = placer.ask(&question(1, 2, PlacementKind::Retry { excluded }), after(6));
-    assert_ne!(reader(&answer), refuser);
+    let excluded = vec![refusing_engine];
+    let answer = placer.ask(&query(1, 2, PlacementKind::Retry { excluded }), after(6));
+    assert_ne!(prefill_engine(&answer), refusing_engine);
     assert_eq!(placer.requests(), 1);
 }
 
 #[test]
-fn a_lost_report_of_a_refusal_is_made_good_by_the_next_question() {
+fn the_next_query_ends_a_dispatch_whose_refusal_report_was_lost() {
     let mut placer = Placer::new();
-    let refuser = reader(&placer.ask(&admission(1), NOW));
-    let excluded = vec![refuser];
-    placer.ask(&question(1, 2, PlacementKind::Retry { excluded }), after(6));
+    let refusing_engine = prefill_engine(&placer.ask(&admission_query(1), NOW));
+    let excluded = vec![refusing_engine];
+    placer.ask(&query(1, 2, PlacementKind::Retry { excluded }), after(6));
     assert_eq!(placer.requests(), 1);
 }
 
 #[test]
-fn what_nobody_speaks_of_any_more_is_forgotten_after_the_requests_time() {
+fn a_request_without_further_reports_expires_after_its_deadline() {
     let mut placer = Placer::new();
-    placer.ask(&admission(1), NOW);
+    placer.ask(&admission_query(1), NOW);
     placer.table.sweep(&mut placer.router, after(4_400));
     assert_eq!(placer.requests(), 1);
     placer.table.sweep(&mut placer.router, after(5_100));
@@ -371,48 +371,48 @@
 }
 
 #[test]
-fn a_placer_that_has_just_started_places_outputs_whose_prompts_another_placed() {
+fn a_restarted_placer_places_the_decode_of_a_request_whose_prefill_another_placed() {
     let mut before = Placer::new();
-    let source = reader(&before.ask(&admission(1), NOW));
+    let source = prefill_engine(&before.ask(&admission_query(1), NOW));
     let mut started = Placer::new();
-    let answer = started.ask(&output(1, source), after(300));
+    let answer = started.ask(&decode_query(1, source), after(300));
     assert!(matches!(answer.placement, Placement::One(_)), "{answer:?}");
     assert_eq!(started.requests(), 1);
 }
 
-/// What happens to a datagram on its way.
+/// Delivery of a datagram.
 #[derive(Clone, Copy, Debug)]
-enum Way {
+enum Delivery {
     Arrives,
-    Doubled,
+    Duplicated,
     Lost,
 }
 
-fn way() -> impl Strategy<Value = Way> {
-    prop_oneof![6 => Just(Way::Arrives), 1 => Just(Way::Doubled), 1 => Just(Way::Lost)]
+fn delivery() -> impl Strategy<Value = Delivery> {
+    prop_oneof![6 => Just(Delivery::Arrives), 1 => Just(Delivery::Duplicated), 1 => Just(Delivery::Lost)]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever is lost or doubled, no request counts twice, and none is counted when its time is over.
+    /// With lost and duplicate datagrams, no request is recorded twice, and none is after its deadline.
     #[test]
-    fn nothing_is_counted_twice_or_for_ever(ways in proptest::collection::vec((way(), way(), way()), 1..40)) {
+    fn no_request_is_recorded_twice_or_forever(deliveries in proptest::collection::vec((delivery(), delivery(), delivery()), 1..40)) {
         let mut placer = Placer::new();
         let settings = PoolAdmission::default();
-        let times = |way| match way { Way::Arrives => 1, Way::Doubled => 2, Way::Lost => 0 };
-        for (number, (asked, read, ended)) in ways.iter().enumerate() {
+        let copies = |delivery| match delivery { Delivery::Arrives => 1, Delivery::Duplicated => 2, Delivery::Lost => 0 };
+        for (number, (asked, read, ended)) in deliveries.iter().enumerate() {
             let number = number as u64;
             let at = after(number * 10);
             let source = placer.router.handle_of(&EngineId::new("p1"));
-            for _ in 0..times(*asked) {
-                placer.table.answer(&mut placer.router, &admission(number), &settings, at);
+            for _ in 0..copies(*asked) {
+                placer.table.answer(&mut placer.router, &admission_query(number), &settings, at);
             }
-            for _ in 0..times(*read) {
-                placer.table.answer(&mut placer.router, &output(number, source), &settings, at);
+            for _ in 0..copies(*read) {
+                placer.table.answer(&mut placer.router, &decode_query(number, source), &settings, at);
             }
-            for _ in 0..times(*ended) {
-                placer.tell(&output(number, source), DispatchProgress::Answered { pauses: Vec::new() }, at);
+            for _ in 0..copies(*ended) {
+                placer.report_progress(&decode_query(number, source), DispatchProgress::Answered { pauses: Vec::new() }, at);
             }
             prop_assert!(placer.requests() as u64 <= number + 1);
             prop_assert!(placer.requests() as usize <= placer.table.len());
@@ -424,25 +424,25 @@
 }
 
 #[test]
-fn a_stream_that_paused_for_too_long_stays_counted_as_an_output_that_is_late_already() {
+fn a_stream_that_exceeds_its_event_gap_stays_recorded_as_late() {
     let mut placer = Placer::new();
-    let bounded = |mut question: PlacementQuery| {
-        question.request.constraints.max_event_gap = Some(Duration::from_millis(200));
-        question
+    let bounded = |mut query: PlacementQuery| {
+        query.request.constraints.max_event_gap = Some(Duration::from_millis(200));
+        query
     };
-    placer.ask(&bounded(admission(1)), NOW);
+    placer.ask(&bounded(admission_query(1)), NOW);
     let source = SubjectHandle::of_engine(&EngineId::new("p1"));
-    let asked = bounded(output(1, source));
+    let asked = bounded(decode_query(1, source));
     placer.ask(&asked, after(50));
-    placer.tell(
+    placer.report_progress(
         &asked,
         DispatchProgress::Started { reported_load: None },
         after(80),
     );
     assert_eq!((placer.requests(), placer.streams()), (1, 1));
-    placer.tell(&asked, DispatchProgress::Paused { hundredths: 130 }, after(400));
+    placer.report_progress(&asked, DispatchProgress::Paused { hundredths: 130 }, after(400));
     assert_eq!((placer.requests(), placer.streams()), (1, 0));
-    placer.tell(
+    placer.report_progress(
         &asked,
         DispatchProgress::Answered { pauses: vec![130] },
         after(600),
--- a/crates/core/tests/rate_limit_choice.rs
+++ b/crates/core/tests/rate_limit_choice.rs
@@ -1,4 +1,4 @@
-//! Engines that name a rate limit, as the router and the planner of roles see them.
+//! Effect of rate limits on the pool router and the role planner.
 
 #![allow(clippy::unwrap_used)]
 
@@ -17,18 +17,18 @@
 
 const NOW: MonotonicTime = MonotonicTime::from_millis(10_000);
 
-/// Two engines that run no model.
+/// A router with two application engines.
 fn router() -> PoolRouter {
     let engines = ["a", "b"].map(|id| engine_with(id, EngineStage::Whole, 8));
     router_with(PoolWeights::default(), 8, None, &engines)
 }
 
-struct Asked {
+struct QueryInput {
     pool: PoolId,
     zone: ZoneId,
 }
 
-impl Asked {
+impl QueryInput {
     fn new() -> Self {
         Self {
             pool: pool(),
@@ -55,12 +55,12 @@
 }
 
 fn name_limit(router: &mut PoolRouter, engine: &str, rate: f64) {
-    let said = ResponseLimit::Valid(RateLimit::new(rate).unwrap());
-    let change = router.on_response_limit(&EngineId::new(engine), &said, NOW, NOW);
+    let response = ResponseLimit::Valid(RateLimit::new(rate).unwrap());
+    let change = router.on_response_limit(&EngineId::new(engine), &response, NOW, NOW);
     assert_eq!(change, LimitChange::Changed);
 }
 
-fn no_slot_for(router: &mut PoolRouter, engine: &str, millis: u64) {
+fn set_slot_wait(router: &mut PoolRouter, engine: &str, millis: u64) {
     let engine = SubjectHandle::of_engine(&EngineId::new(engine));
     router.record_slot_wait(engine, Duration::from_millis(millis), NOW);
 }
@@ -74,49 +74,57 @@
 }
 
 #[test]
-fn a_request_goes_elsewhere_before_it_waits_for_a_slot_and_nowhere_when_it_would_wait_too_long() {
-    let asked = Asked::new();
+fn engines_with_a_free_slot_come_first_and_none_is_chosen_beyond_the_maximum_wait() {
+    let input = QueryInput::new();
     let mut router = router();
     for engine in ["a", "b"] {
         name_limit(&mut router, engine, 2.0);
     }
-    no_slot_for(&mut router, "a", 200);
-    let choose = |router: &PoolRouter, max_wait| chosen(router.choose(&asked.query(max_wait), NOW));
+    set_slot_wait(&mut router, "a", 200);
+    let choose = |router: &PoolRouter, max_wait| chosen(router.choose(&input.query(max_wait), NOW));
     assert_eq!(choose(&router, 500), Some("b".to_owned()), "b has a slot now");
-    no_slot_for(&mut router, "b", 400);
-    assert_eq!(choose(&router, 500), Some("a".to_owned()), "the shorter wait");
-    assert_eq!(choose(&router, 100), None, "also where nothing else is left");
-    let wait = router.time_until_accepted(&asked.query(100), NOW);
+    set_slot_wait(&mut router, "b", 400);
+    assert_eq!(
+        choose(&router, 500),
+        Some("a".to_owned()),
+        "a has the shorter wait"
+    );
+    assert_eq!(
+        choose(&router, 100),
+        None,
+        "no engine has a slot within the maximum wait"
+    );
+    let wait = router.time_until_accepted(&input.query(100), NOW);
     assert_eq!(
         wait,
         Some(Duration::from_millis(200)),
-        "which is what the caller is told"
+        "the caller receives the shortest wait"
     );
     let later = NOW + Duration::from_millis(250);
     assert_eq!(
-        chosen(router.choose(&asked.query(0), later)),
+        chosen(router.choose(&input.query(0), later)),
         Some("a".to_owned())
     );
 }
 
 #[test]
-fn a_limit_belongs_to_one_start_of_an_engine() {
+fn a_restarted_engine_has_no_known_limit() {
     let mut router = router();
     name_limit(&mut router, "a", 1.0);
     assert_eq!(router.rate_limited_engines().count(), 1);
-    let started_again = PoolEngine {
+    let restarted = PoolEngine {
         id: EngineId::started("a", EngineStart(7)),
         ..engine_with("a", EngineStage::Whole, 8)
     };
-    router.on_engine_listed(started_again);
+    router.on_engine_listed(restarted);
     assert_eq!(router.rate_limited_engines().count(), 0);
 }
 
 #[test]
-fn words_pass_a_limit_on_with_its_age_and_the_next_slot() {
+fn notices_contain_a_limit_with_its_age_and_the_next_slot() {
     let (mut one, mut other) = (router(), router());
     name_limit(&mut one, "a", 1.7);
-    no_slot_for(&mut one, "a", 300);
+    set_slot_wait(&mut one, "a", 300);
     let later = NOW + Duration::from_millis(100);
     let notices = one.limit_notices(false, later);
     assert_eq!(
@@ -124,13 +132,16 @@
         (1, 100, 200)
     );
     assert!(other.on_limit_notice(&notices[0], later).is_some());
-    assert!(other.on_limit_notice(&notices[0], later).is_none(), "nothing new");
+    assert!(
+        other.on_limit_notice(&notices[0], later).is_none(),
+        "a repeated notice changes nothing"
+    );
     let limited = other.rate_limited_engines().next().unwrap();
     assert_eq!(limited.rate_limit(), RateLimit::new(1.7));
     assert_eq!(limited.slot_wait(later), Duration::from_millis(200));
     assert!(
         other.limit_notices(true, later).is_empty(),
-        "no answer to it has named the limit"
+        "no response to this node has named the limit"
     );
     let ended = LimitNotice {
         limit: None,
@@ -140,26 +151,26 @@
     assert!(other.on_limit_notice(&ended, later).is_some());
     assert!(
         other.on_limit_notice(&notices[0], later).is_none(),
-        "the older notice comes late"
+        "an older notice that arrives late is ignored"
     );
     assert_eq!(other.rate_limited_engines().count(), 0);
 }
 
 #[test]
-fn the_planner_counts_an_engine_by_the_part_of_its_share_that_its_limit_lets_through() {
-    let asked = Asked::new();
+fn the_role_planner_counts_the_fraction_of_an_engines_load_that_its_limit_allows() {
+    let input = QueryInput::new();
     let mut router = router();
     let part = |router: &PoolRouter, now| {
         let (views, _) = router.role_planner_input(&pool(), now);
         views.iter().map(|view| view.part).collect::<Vec<_>>()
     };
     name_limit(&mut router, "a", 2.0);
-    assert_eq!(part(&router, NOW), [1.0, 1.0], "nothing falls to it yet");
+    assert_eq!(part(&router, NOW), [1.0, 1.0], "there has been no load yet");
     let mut now = NOW;
-    // Sixteen a second for long: eight fall to each engine.
+    // Sixteen requests per second over 50 s: eight per second for each engine.
     for _ in 0..800 {
         now = now + Duration::from_micros(62_500);
-        let ticket = router.on_output_sent(&EngineId::new("b"), &asked.query(0), KvCacheSource::Prefill, now);
+        let ticket = router.on_output_sent(&EngineId::new("b"), &input.query(0), KvCacheSource::Prefill, now);
         router.on_answered(&ticket);
     }
     let parts = part(&router, now);
--- a/crates/core/tests/rate_limit_slots.rs
+++ b/crates/core/tests/rate_limit_slots.rs
@@ -1,5 +1,5 @@
-//! The slots of an engine that names a limit, over fleets of 1 to 300 nodes in virtual time: what reaches the engine in any four
-//! seconds, and how much of what it named it gets, while owners are lost, the fleet is split, and all processes are killed.
+//! Rate limits in simulated fleets of 1 to 300 nodes: requests must not exceed the limit in any window of four seconds and must
+//! use most of it, also while owners fail, the fleet is partitioned or all processes are killed.
 
 #![allow(clippy::unwrap_used)]
 
@@ -12,41 +12,41 @@
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
 
-/// Span over which an engine's limit is judged.
+/// Window over which an engine's limit is checked.
 const WINDOW_MILLIS: u64 = 4_000;
 
-/// Time that a request and a question take on their way.
-const WAY_MILLIS: std::ops::Range<u64> = 1..6;
+/// Network latency of a request or a slot request.
+const LATENCY_MILLIS: std::ops::Range<u64> = 1..6;
 
-/// Silence after which a node no longer counts, as each notices it.
-const NOTICED_MILLIS: std::ops::Range<u64> = 3_300..3_900;
+/// Time after a failure at which nodes detect it.
+const DETECTION_DELAY_MILLIS: std::ops::Range<u64> = 3_300..3_900;
 
-/// What happens to the fleet.
+/// Fault that occurs in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Trouble {
+enum Fault {
     Nothing,
-    /// The owner is killed, and another takes the slots over.
-    KeeperLost,
-    /// The fleet is split into two sides, of which the first has so many in a hundred nodes.
+    /// The slot owner is killed, and another node takes over.
+    OwnerLost,
+    /// The fleet is partitioned in two; the first part has this percentage of the nodes.
     Split(u32),
-    /// Nobody hears anybody.
-    AllApart,
-    /// All processes are killed and start again.
+    /// No node can reach any other.
+    AllIsolated,
+    /// All processes are killed and restarted.
     AllKilled,
 }
 
-/// When it happens.
-const STRUCK_MILLIS: u64 = 20_000;
+/// Time of the fault.
+const FAULT_AT_MILLIS: u64 = 20_000;
 
-/// Length of a run.
-const LENGTH_MILLIS: u64 = 60_000;
+/// Duration of a simulation.
+const DURATION_MILLIS: u64 = 60_000;
 
 struct Node {
     handle: SubjectHandle,
     owner: SlotOwner,
-    belief: LimitEstimate,
-    /// When it sees that the owner is gone.
-    notices_at: u64,
+    limit_estimate: LimitEstimate,
+    /// Time at which the node detects the fault.
+    detects_fault_at: u64,
     alive: bool,
 }
 
@@ -54,12 +54,12 @@
     nodes: Vec<Node>,
     engine: SubjectHandle,
     limit: RateLimit,
-    trouble: Trouble,
+    fault: Fault,
     random: ChaCha8Rng,
 }
 
-/// What came of a run.
-struct Seen {
+/// Result of a simulation: arrival times of requests at the engine.
+struct Arrivals {
     arrivals: Vec<u64>,
 }
 
@@ -68,17 +68,17 @@
 }
 
 impl Fleet {
-    fn new(nodes: usize, limit: f64, trouble: Trouble, seed: u64) -> Self {
+    fn new(nodes: usize, limit: f64, fault: Fault, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let limit = RateLimit::new(limit).unwrap();
         let nodes = (0..nodes).map(|number| {
-            let mut belief = LimitEstimate::default();
-            belief.on_notice(Some(limit), at(0));
+            let mut limit_estimate = LimitEstimate::default();
+            limit_estimate.on_notice(Some(limit), at(0));
             Node {
                 handle: SubjectHandle::of_text("node", &format!("node-{number}-{seed}")),
                 owner: SlotOwner::default(),
-                belief,
-                notices_at: STRUCK_MILLIS + random.random_range(NOTICED_MILLIS),
+                limit_estimate,
+                detects_fault_at: FAULT_AT_MILLIS + random.random_range(DETECTION_DELAY_MILLIS),
                 alive: true,
             }
         });
@@ -86,62 +86,62 @@
             nodes: nodes.collect(),
             engine: SubjectHandle::of_number(7),
             limit,
-            trouble,
+            fault,
             random,
         }
     }
 
-    fn strike(&mut self) {
-        match self.trouble {
-            Trouble::KeeperLost if self.nodes.len() > 1 => {
-                let owner = self.keeper_seen_by(0, 0);
+    fn inject_fault(&mut self) {
+        match self.fault {
+            Fault::OwnerLost if self.nodes.len() > 1 => {
+                let owner = self.owner_known_to(0, 0);
                 self.nodes[owner].alive = false;
             }
-            Trouble::AllKilled => {
+            Fault::AllKilled => {
                 let limit = self.limit;
                 for node in &mut self.nodes {
                     node.owner = SlotOwner::default();
-                    node.belief = LimitEstimate::default();
-                    node.belief.on_notice(Some(limit), at(STRUCK_MILLIS));
+                    node.limit_estimate = LimitEstimate::default();
+                    node.limit_estimate.on_notice(Some(limit), at(FAULT_AT_MILLIS));
                 }
             }
             _ => {}
         }
     }
 
-    fn hears(&self, one: usize, other: usize, millis: u64) -> bool {
+    fn considers_alive(&self, one: usize, other: usize, millis: u64) -> bool {
         if one == other {
             return true;
         }
-        let noticed = millis >= self.nodes[one].notices_at;
-        match self.trouble {
-            _ if !noticed => true,
-            Trouble::Split(percent) => {
+        let has_detected = millis >= self.nodes[one].detects_fault_at;
+        match self.fault {
+            _ if !has_detected => true,
+            Fault::Split(percent) => {
                 let side = |number: usize| number * 100 < percent as usize * self.nodes.len();
                 side(one) == side(other)
             }
-            Trouble::AllApart => false,
+            Fault::AllIsolated => false,
             _ => self.nodes[other].alive,
         }
     }
 
-    /// Whether a message arrives; a node is cut off before others notice.
+    /// Whether a message arrives. Nodes are cut off before others detect it.
     fn reaches(&self, one: usize, other: usize, millis: u64) -> bool {
         one == other
-            || millis < STRUCK_MILLIS
-            || (self.nodes[other].alive && self.hears(one, other, u64::MAX))
+            || millis < FAULT_AT_MILLIS
+            || (self.nodes[other].alive && self.considers_alive(one, other, u64::MAX))
     }
 
-    fn keeper_seen_by(&self, one: usize, millis: u64) -> usize {
+    fn owner_known_to(&self, one: usize, millis: u64) -> usize {
         let candidates: Vec<SubjectHandle> = (0..self.nodes.len())
-            .filter(|other| self.hears(one, *other, millis))
+            .filter(|other| self.considers_alive(one, *other, millis))
             .map(|other| self.nodes[other].handle)
             .collect();
         let owner = owner_of(self.engine, &candidates).unwrap();
         self.nodes.iter().position(|node| node.handle == owner).unwrap()
     }
 
-    /// A request that comes to a node; when it arrives at the engine, if it goes there.
+    /// Handles a request at a node. Returns its arrival time at the engine, or `None` if it gets no slot.
     fn send(&mut self, from: usize, millis: u64) -> Option<u64> {
         let waiting = WaitFactors {
             rank: self.random.random_range(0..3),
@@ -150,18 +150,20 @@
             overuse_factor: 1.0,
         };
         let max_wait = waiting.max_wait();
-        if self.nodes[from].belief.slot_wait(at(millis)) > max_wait {
+        if self.nodes[from].limit_estimate.slot_wait(at(millis)) > max_wait {
             return None;
         }
-        let owner = self.keeper_seen_by(from, millis);
-        let asked_at = millis + self.random.random_range(WAY_MILLIS);
-        let keeps = self.keeper_seen_by(owner, asked_at) == owner;
-        if !self.reaches(from, owner, millis) || !keeps {
-            let silent = Duration::from_millis(500);
-            self.nodes[from].belief.record_slot_wait(silent, at(millis));
+        let owner = self.owner_known_to(from, millis);
+        let asked_at = millis + self.random.random_range(LATENCY_MILLIS);
+        let is_owner = self.owner_known_to(owner, asked_at) == owner;
+        if !self.reaches(from, owner, millis) || !is_owner {
+            let no_answer_wait = Duration::from_millis(500);
+            self.nodes[from]
+                .limit_estimate
+                .record_slot_wait(no_answer_wait, at(millis));
             return None;
         }
-        let heard = (0..self.nodes.len()).filter(|other| self.hears(owner, *other, asked_at));
+        let heard = (0..self.nodes.len()).filter(|other| self.considers_alive(owner, *other, asked_at));
         let part = limit_share(heard.count() as u32, self.nodes.len() as u32);
         let own = self.nodes[owner].handle;
         let (engine, limit) = (self.engine, self.limit);
@@ -170,22 +172,25 @@
             .reserve(own, engine, limit, part, max_wait, at(asked_at));
         match slot {
             Slot::After(wait) => {
-                let way = self.random.random_range(WAY_MILLIS) + self.random.random_range(WAY_MILLIS);
-                Some(asked_at + wait.as_millis() as u64 + way)
+                let latency =
+                    self.random.random_range(LATENCY_MILLIS) + self.random.random_range(LATENCY_MILLIS);
+                Some(asked_at + wait.as_millis() as u64 + latency)
             }
             Slot::NotInTime(wait) => {
-                self.nodes[from].belief.record_slot_wait(wait, at(asked_at));
+                self.nodes[from]
+                    .limit_estimate
+                    .record_slot_wait(wait, at(asked_at));
                 None
             }
         }
     }
 
-    /// So many requests a second come, each to some node that runs.
-    fn run(mut self, requests_per_second: f64) -> Seen {
+    /// Runs the simulation with a rate of requests that arrive at random nodes.
+    fn run(mut self, requests_per_second: f64) -> Arrivals {
         let mut arrivals = Vec::new();
-        for millis in 0..LENGTH_MILLIS {
-            if millis == STRUCK_MILLIS {
-                self.strike();
+        for millis in 0..DURATION_MILLIS {
+            if millis == FAULT_AT_MILLIS {
+                self.inject_fault();
             }
             if !self.random.random_bool((requests_per_second / 1_000.0).min(1.0)) {
                 continue;
@@ -197,41 +202,41 @@
             arrivals.extend(self.send(from, millis));
         }
         arrivals.sort_unstable();
-        Seen { arrivals }
+        Arrivals { arrivals }
     }
 }
 
-impl Seen {
-    fn most_in_window(&self) -> usize {
+impl Arrivals {
+    fn max_in_window(&self) -> usize {
         let until = |end: u64| self.arrivals.partition_point(|arrival| *arrival < end);
         let windows = self.arrivals.iter();
         let counts = windows.map(|from| until(from + WINDOW_MILLIS) - until(*from));
         counts.max().unwrap_or(0)
     }
 
-    /// Requests that arrived in a second, over a span.
+    /// Arrivals per second within an interval.
     fn per_second(&self, from: u64, until: u64) -> f64 {
         let there = self.arrivals.iter().filter(|at| (from..until).contains(*at));
         there.count() as f64 * 1_000.0 / (until - from) as f64
     }
 }
 
-/// Requests that an engine may get within a window, by the users' rule.
+/// Maximum number of requests that an engine may receive within a window.
 fn allowed(limit: f64) -> usize {
     (1.5 * limit * 4.0 + 5.0) as usize
 }
 
-/// One request in the span after all is well again, since small rates come to few.
-const ONE_MORE: f64 = 1_000.0 / (LENGTH_MILLIS - STRUCK_MILLIS - 8_000) as f64;
+/// One request in the interval after recovery, as a tolerance for low rates.
+const ONE_REQUEST_TOLERANCE: f64 = 1_000.0 / (DURATION_MILLIS - FAULT_AT_MILLIS - 8_000) as f64;
 
 const NODES: [usize; 4] = [1, 3, 30, 300];
 const LIMITS: [f64; 5] = [0.3, 1.0, 1.7, 4.3, 20.0];
 
-fn each(trouble: Trouble, check: impl Fn(usize, f64, Seen)) {
+fn for_each_fleet(fault: Fault, check: impl Fn(usize, f64, Arrivals)) {
     for nodes in NODES {
         for limit in LIMITS {
             for seed in 0..2 {
-                let fleet = Fleet::new(nodes, limit, trouble, seed);
+                let fleet = Fleet::new(nodes, limit, fault, seed);
                 check(nodes, limit, fleet.run(60.0));
             }
         }
@@ -239,22 +244,22 @@
 }
 
 #[test]
-fn no_window_holds_more_than_is_allowed_whatever_befalls_the_fleet() {
-    let troubles = [
-        Trouble::Nothing,
-        Trouble::KeeperLost,
-        Trouble::Split(50),
-        Trouble::Split(67),
-        Trouble::Split(80),
-        Trouble::AllApart,
-        Trouble::AllKilled,
+fn no_window_exceeds_the_allowed_requests_under_any_fault() {
+    let faults = [
+        Fault::Nothing,
+        Fault::OwnerLost,
+        Fault::Split(50),
+        Fault::Split(67),
+        Fault::Split(80),
+        Fault::AllIsolated,
+        Fault::AllKilled,
     ];
-    for trouble in troubles {
-        each(trouble, |nodes, limit, seen| {
-            let most = seen.most_in_window();
+    for fault in faults {
+        for_each_fleet(fault, |nodes, limit, arrivals| {
+            let max_requests = arrivals.max_in_window();
             assert!(
-                most <= allowed(limit),
-                "{trouble:?}, {nodes} nodes, limit {limit}: {most} of {} allowed",
+                max_requests <= allowed(limit),
+                "{fault:?}, {nodes} nodes, limit {limit}: {max_requests} of {} allowed",
                 allowed(limit)
             );
         });
@@ -262,46 +267,49 @@
 }
 
 #[test]
-fn an_engine_gets_nearly_what_it_named_while_there_is_demand() {
-    each(Trouble::Nothing, |nodes, limit, seen| {
-        let got = seen.per_second(5_000, LENGTH_MILLIS);
+fn an_engine_receives_most_of_its_limit_under_sufficient_demand() {
+    for_each_fleet(Fault::Nothing, |nodes, limit, arrivals| {
+        let rate = arrivals.per_second(5_000, DURATION_MILLIS);
         assert!(
-            got >= 0.85 * limit,
-            "{nodes} nodes, limit {limit}: {got} a second"
+            rate >= 0.85 * limit,
+            "{nodes} nodes, limit {limit}: {rate} a second"
         );
     });
 }
 
 #[test]
-fn an_engine_gets_its_rate_again_after_its_keeper_or_all_were_killed() {
-    for trouble in [Trouble::KeeperLost, Trouble::AllKilled] {
-        each(trouble, |nodes, limit, seen| {
-            let got = seen.per_second(STRUCK_MILLIS + 8_000, LENGTH_MILLIS);
+fn an_engine_receives_its_rate_again_after_its_owner_or_all_processes_were_killed() {
+    for fault in [Fault::OwnerLost, Fault::AllKilled] {
+        for_each_fleet(fault, |nodes, limit, arrivals| {
+            let rate = arrivals.per_second(FAULT_AT_MILLIS + 8_000, DURATION_MILLIS);
             assert!(
-                got >= 0.8 * limit,
-                "{trouble:?}, {nodes} nodes, limit {limit}: {got} a second"
+                rate >= 0.8 * limit,
+                "{fault:?}, {nodes} nodes, limit {limit}: {rate} a second"
             );
         });
     }
 }
 
 #[test]
-fn sides_that_do_not_hear_each_other_still_use_what_the_engine_takes() {
-    each(Trouble::Split(50), |nodes, limit, seen| {
-        let got = seen.per_second(STRUCK_MILLIS + 8_000, LENGTH_MILLIS) + ONE_MORE;
-        assert!(got >= 0.7 * limit, "{nodes} nodes, limit {limit}: {got} a second");
+fn the_parts_of_a_partitioned_fleet_together_use_most_of_the_limit() {
+    for_each_fleet(Fault::Split(50), |nodes, limit, arrivals| {
+        let rate = arrivals.per_second(FAULT_AT_MILLIS + 8_000, DURATION_MILLIS) + ONE_REQUEST_TOLERANCE;
+        assert!(
+            rate >= 0.7 * limit,
+            "{nodes} nodes, limit {limit}: {rate} a second"
+        );
     });
 }
 
 #[test]
-fn what_reaches_an_engine_does_not_grow_with_the_nodes() {
-    let most = |nodes| {
-        let seen = Fleet::new(nodes, 4.3, Trouble::Nothing, 3).run(60.0);
-        (seen.most_in_window(), seen.arrivals.len() as f64)
+fn the_rate_at_an_engine_does_not_grow_with_the_number_of_nodes() {
+    let counts = |nodes| {
+        let arrivals = Fleet::new(nodes, 4.3, Fault::Nothing, 3).run(60.0);
+        (arrivals.max_in_window(), arrivals.arrivals.len() as f64)
     };
-    let (in_window, in_all) = most(3);
+    let (in_window, in_all) = counts(3);
     for nodes in [30, 300] {
-        let (window, all) = most(nodes);
+        let (window, all) = counts(nodes);
         assert!(
             window <= in_window + 2,
             "{window} of {nodes} nodes, {in_window} of 3"
@@ -314,7 +322,7 @@
 }
 
 #[test]
-fn a_keeper_that_knew_no_nodes_or_a_lower_limit_gives_out_slots_as_soon_as_it_has_its_part() {
+fn an_owner_grants_slots_soon_after_its_share_or_the_limit_has_grown() {
     let (own, engine) = (SubjectHandle::of_number(1), SubjectHandle::of_number(2));
     let limit = |rate| RateLimit::new(rate).unwrap();
     let max_wait = Duration::from_secs(1);
@@ -324,9 +332,12 @@
         matches!(none, Slot::NotInTime(wait) if wait < max_wait),
         "{none:?}"
     );
-    let isolated = owner.reserve(own, engine, limit(0.1), 0.001, max_wait, at(10));
-    assert!(matches!(isolated, Slot::NotInTime(_)), "{isolated:?}");
-    // Half a second between two slots, and up to a second for those who wait for theirs.
+    let with_small_share = owner.reserve(own, engine, limit(0.1), 0.001, max_wait, at(10));
+    assert!(
+        matches!(with_small_share, Slot::NotInTime(_)),
+        "{with_small_share:?}"
+    );
+    // Half a second between slots, plus up to a second for requests that already wait.
     let whole = owner.reserve(own, engine, limit(2.0), 1.0, Duration::from_secs(3), at(20));
     assert!(
         matches!(whole, Slot::After(wait) if wait <= Duration::from_millis(1_500)),
@@ -335,7 +346,7 @@
 }
 
 #[test]
-fn who_comes_back_finds_a_slot_where_a_first_request_no_longer_does() {
+fn retries_wait_longer_for_a_slot_than_first_attempts() {
     let waiting = |rank, is_retry_or_prefilled| WaitFactors {
         rank,
         remaining: Duration::from_secs(3),
@@ -343,11 +354,11 @@
         overuse_factor: 1.0,
     };
     let returned = waiting(2, true).max_wait();
-    let [urgent, usual, lesser] = [0, 1, 2].map(|rank| waiting(rank, false).max_wait());
-    assert!(returned > urgent && urgent > usual && usual > lesser);
-    let beyond = WaitFactors {
+    let [urgent, medium, low] = [0, 1, 2].map(|rank| waiting(rank, false).max_wait());
+    assert!(returned > urgent && urgent > medium && medium > low);
+    let overusing = WaitFactors {
         overuse_factor: 2.0,
         ..waiting(1, false)
     };
-    assert_eq!(beyond.max_wait(), usual / 2);
+    assert_eq!(overusing.max_wait(), medium / 2);
 }
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routing against the rules that hold whatever the cost says: place, state, health and belief.
+//! Rules of routing that hold independently of the cost: allowed zones, engine state, backoff and the cache estimate.
 #![allow(clippy::unwrap_used)]
 
 use proptest::prelude::*;
@@ -85,7 +85,7 @@
     MonotonicTime::from_millis(1_000_000)
 }
 
-fn add(router: &mut KvRouter, index: usize, record: &EngineRecord) {
+fn add_engine(router: &mut KvRouter, index: usize, record: &EngineRecord) {
     router.on_engine_record(&engine(index), record, Duration::ZERO, now());
 }
 
@@ -100,8 +100,8 @@
     }
 }
 
-/// A record that may be fit for new work or not; whether it is.
-fn build(index: usize, (zone, role, state, queued): (usize, Role, u8, u64)) -> (EngineRecord, bool) {
+/// Builds a record, and tells whether the engine accepts new work.
+fn build_record(index: usize, (zone, role, state, queued): (usize, Role, u8, u64)) -> (EngineRecord, bool) {
     let load = LoadReport {
         queued_prefill_tokens: queued,
         ..idle()
@@ -123,33 +123,33 @@
     #![proptest_config(ProptestConfig { cases: 512, ..ProptestConfig::default() })]
 
     #[test]
-    fn residency_and_state_hold_for_every_choice(
+    fn only_available_engines_in_allowed_zones_are_chosen(
         fleet in prop::collection::vec(any_record(), 1..40),
         allowed in prop::sample::subsequence(ZONES.to_vec(), 0..=3),
         seed in any::<u64>(),
     ) {
         let mut router = KvRouter::new(RoutingWeights::default());
-        let mut fit = Vec::new();
-        for (index, drawn) in fleet.iter().enumerate() {
-            let (record, is_fit) = build(index, *drawn);
+        let mut available = Vec::new();
+        for (index, parameters) in fleet.iter().enumerate() {
+            let (record, accepts_work) = build_record(index, *parameters);
             let role = record.status.as_ref().unwrap().role;
-            let in_place = allowed.contains(&record.zone.as_str());
-            add(&mut router, index, &record);
-            if is_fit && in_place {
-                fit.push((engine(index), role));
+            let is_allowed_zone = allowed.contains(&record.zone.as_str());
+            add_engine(&mut router, index, &record);
+            if accepts_work && is_allowed_zone {
+                available.push((engine(index), role));
             }
         }
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let route = router.choose(&query(&allowed), now(), &mut random);
         let chosen = engines_of(&route);
         for engine in &chosen {
-            prop_assert!(fit.iter().any(|(known, _)| known == engine), "{engine} may not be chosen");
+            prop_assert!(available.iter().any(|(known, _)| known == engine), "{engine} must not be chosen");
         }
-        let has = |role: Role| fit.iter().any(|(_, known)| *known == role);
+        let has = |role: Role| available.iter().any(|(_, known)| *known == role);
         let serves = has(Role::Mixed) || (has(Role::Prefill) && has(Role::Decode));
-        prop_assert_eq!(serves, !chosen.is_empty(), "a request is placed exactly when an allowed engine can serve it");
+        prop_assert_eq!(serves, !chosen.is_empty(), "a request is placed if and only if an allowed engine can serve it");
         if let Route::Split { prefill, decode } = &route {
-            let role = |engine: &EngineId| fit.iter().find(|(known, _)| known == engine).unwrap().1;
+            let role = |engine: &EngineId| available.iter().find(|(known, _)| known == engine).unwrap().1;
             prop_assert_ne!(role(&prefill.engine), Role::Decode);
             prop_assert_ne!(role(&decode.engine), Role::Prefill);
         }
@@ -157,10 +157,10 @@
 }
 
 #[test]
-fn an_engine_that_refuses_or_breaks_is_left_alone_for_a_while() {
+fn an_engine_is_avoided_for_a_while_after_a_refusal_or_connection_failure() {
     let mut router = KvRouter::new(RoutingWeights::default());
     for index in 0..2 {
-        add(&mut router, index, &record(index, "a", Role::Mixed, idle()));
+        add_engine(&mut router, index, &record(index, "a", Role::Mixed, idle()));
     }
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let ticket = router.on_dispatched(&engine(0), &query(&["a"]), now());
@@ -174,17 +174,17 @@
 }
 
 #[test]
-fn an_engine_slower_than_it_reports_gets_less() {
+fn an_engine_slower_than_its_reports_receives_less_load() {
     let mut router = KvRouter::new(RoutingWeights::default());
     for index in 0..3 {
-        add(&mut router, index, &record(index, "a", Role::Mixed, idle()));
+        add_engine(&mut router, index, &record(index, "a", Role::Mixed, idle()));
     }
     let mut time = now();
     for round in 0..30 {
         for index in 0..3 {
             let ticket = router.on_dispatched(&engine(index), &query(&["a"]), time);
-            let crawls = index == 0;
-            let first_token = Duration::from_millis(if crawls { 2_000 } else { 50 });
+            let is_slow = index == 0;
+            let first_token = Duration::from_millis(if is_slow { 2_000 } else { 50 });
             let work = FinishedWork {
                 output_tokens: 60,
                 first_token: Some(first_token),
@@ -204,9 +204,9 @@
 }
 
 #[test]
-fn a_gap_in_cache_events_drops_the_belief() {
+fn a_gap_in_cache_events_clears_the_cache_estimate() {
     let mut router = KvRouter::new(RoutingWeights::default());
-    add(&mut router, 0, &record(0, "a", Role::Mixed, idle()));
+    add_engine(&mut router, 0, &record(0, "a", Role::Mixed, idle()));
     let stored = |sequence: u64, blocks: std::ops::Range<u64>| KvEvent {
         sequence,
         change: KvChange::Stored {
@@ -220,8 +220,16 @@
     router.on_kv_events(&engine(0), 1, &[stored(1, 0..10), stored(2, 10..20)]);
     assert_eq!(overlap(&router), 20);
     router.on_kv_events(&engine(0), 1, &[stored(4, 20..40)]);
-    assert_eq!(overlap(&router), 0, "event 3 may have removed anything");
+    assert_eq!(
+        overlap(&router),
+        0,
+        "the missing event 3 may have removed any block"
+    );
     router.on_kv_events(&engine(0), 2, &[stored(1, 0..5)]);
     router.on_kv_events(&engine(0), 1, &[stored(5, 0..40)]);
-    assert_eq!(overlap(&router), 5, "events of an earlier start say nothing");
+    assert_eq!(
+        overlap(&router),
+        5,
+        "events of an earlier incarnation are ignored"
+    );
 }
