--- a/crates/core/src/routing/pool/admission.rs
+++ b/crates/core/src/routing/pool/admission.rs
@@ -160,7 +160,7 @@
 }
 
 /// Rank of late requests, below the rank of every route.
-pub const LATE_RANK: usize = super::peer_reports::RANK_COUNT - 1;
+pub const LATE_RANK: usize = super::beliefs::RANK_COUNT - 1;
 
 /// Whether to admit a prompt that would miss its target even with an empty queue. A configured fraction of such prompts
 /// is admitted so that they are not starved; the fraction is the same at every placer.
@@ -335,7 +335,7 @@
         settings: &PoolAdmission,
         now: MonotonicTime,
     ) -> Option<Charge> {
-        let default_speeds = self.assumed_speeds();
+        let default_speeds = self.default_speeds();
         let speeds = self.speeds.entry(query.pool.clone()).or_insert(default_speeds);
         let is_late_or_refused = decision.admission != Admission::InTime;
         speeds
@@ -372,7 +372,7 @@
 
     /// Records the estimated and the actual time until the first event of a request admitted in time.
     pub fn on_first_event(&mut self, query: &PoolQuery<'_>, expected: Duration, actual: Duration) {
-        let default_speeds = self.assumed_speeds();
+        let default_speeds = self.default_speeds();
         let speeds = self.speeds.entry(query.pool.clone()).or_insert(default_speeds);
         speeds.estimate_error.observe(expected, actual);
     }
--- a/crates/core/tests/engine_starts.rs
+++ b/crates/core/tests/engine_starts.rs
@@ -83,7 +83,7 @@
         for change in self.listing.apply(vec![(version, change)], version) {
             match change {
                 ListChange::Listed(engine) => self.router.on_engine_listed(engine),
-                ListChange::Gone(engine) => self.router.on_engine_gone(&engine, is_doubtful, now),
+                ListChange::Gone(engine) => self.router.on_engine_delisted(&engine, is_doubtful, now),
                 ListChange::Unreadable(entry) => {
                     self.router.on_entry_unreadable(&entry, now);
                 }
@@ -183,12 +183,12 @@
     let mut node = Node::new();
     node.apply_change(2, gone_by_name(), true, at(100));
     assert_eq!(
-        node.router.engines_taking_work(at(110)),
+        node.router.available_engine_count(at(110)),
         1,
         "the entry may only have expired"
     );
     node.apply_change(3, listed(2), false, at(120));
-    assert_eq!(node.router.engines_taking_work(at(120)), 1);
+    assert_eq!(node.router.available_engine_count(at(120)), 1);
     assert_eq!(chosen(node.answer(1, 1, at(121))), Some(handle(2)));
     assert!(node.state(1).has_later_start() && !node.state(1).is_active());
     assert!(!node.state(1).is_draining());
@@ -199,13 +199,13 @@
     let mut node = Node::new();
     node.apply_change(2, gone_by_name(), true, at(100));
     node.apply_change(3, unreadable(), true, at(110));
-    assert_eq!(node.router.engines_taking_work(at(110)), 0);
+    assert_eq!(node.router.available_engine_count(at(110)), 0);
     assert_eq!(node.answer(1, 1, at(111)), Placement::Nowhere);
     let mut node = Node::new();
     node.apply_change(2, unreadable(), true, at(100));
-    assert_eq!(node.router.engines_taking_work(at(100)), 0);
+    assert_eq!(node.router.available_engine_count(at(100)), 0);
     node.apply_change(3, listed(1), false, at(200));
-    assert_eq!(node.router.engines_taking_work(at(200)), 1);
+    assert_eq!(node.router.available_engine_count(at(200)), 1);
 }
 
 #[test]
@@ -276,7 +276,7 @@
         assert!(!state.answered_recently(now), "recent answers");
         assert_eq!(state.ordered_stage(now), None, "orders");
         assert_eq!(state.work_factor(now), 1.0);
-        assert_eq!(node.router.engines_taking_work(now), 1, "health state");
+        assert_eq!(node.router.available_engine_count(now), 1, "health state");
         assert_eq!(
             node.router.own_load(),
             [],
