--- a/crates/core/src/routing/pool/concurrent_work.rs
+++ b/crates/core/src/routing/pool/concurrent_work.rs
@@ -14,7 +14,7 @@
     /// Prompt tokens waiting for prefill.
     pub prompt_tokens: u64,
     /// Tokens of KV cache being transferred to the engine.
-    pub moving_tokens: u64,
+    pub transfer_tokens: u64,
     /// Duration of work at the engine, as a percentage of the average in the pool.
     pub work_factor_percent: u32,
 }
@@ -29,13 +29,13 @@
         ConcurrentWork {
             outputs: work.outputs as u32,
             prompt_tokens: work.all_prompt_tokens() as u64,
-            moving_tokens: work.moving_tokens as u64,
+            transfer_tokens: work.transfer_tokens as u64,
             work_factor_percent: (state.work_factor(now) * 100.0) as u32,
         }
     }
 
-    /// Shortest estimated queueing time in seconds before the prompt of a query starts at a prefill engine; `None` if the
-    /// query has no prompt, there is no such engine, or pauses are not weighted.
+    /// Shortest estimated queueing time in seconds before the prompt of a query starts at a prefill engine; `None` if
+    /// the query has no prompt, there is no such engine, or pauses are not weighted.
     pub(super) fn min_prefill_wait(&self, query: &PoolQuery<'_>, now: MonotonicTime) -> Option<f64> {
         if self.weights.pause_seconds == 0.0 || query.prompt.is_none() {
             return None;
--- a/crates/core/src/routing/pool/speed.rs
+++ b/crates/core/src/routing/pool/speed.rs
@@ -8,12 +8,12 @@
 /// Weight of the initial estimate, in observations.
 const INITIAL_WEIGHT: f64 = 2.0;
 
-/// Maximum ratio between an observation and its expected value, in either direction. Observations beyond it are clamped, so
-/// that an outlier has little effect while a lasting change is still followed.
+/// Maximum ratio between an observation and its expected value, in either direction. Observations beyond it are
+/// clamped, so that an outlier has little effect while a lasting change is still followed.
 pub(super) const MAX_OUTLIER_RATIO: f64 = 2.5;
 
-/// Minimum standard deviation of the token counts, relative to their mean, at which both parameters are fitted. Below it,
-/// the fixed part cannot be told from the time per token.
+/// Minimum standard deviation of the token counts, relative to their mean, at which both parameters are fitted. Below
+/// it, the fixed part cannot be told from the time per token.
 const MIN_RELATIVE_DEVIATION: f64 = 0.25;
 
 /// Minimum number of observations before the estimate counts as learned.
@@ -31,17 +31,17 @@
 /// Linear model of the time until a prompt is prefilled, as a function of the tokens to prefill until then, including
 /// those of prompts ahead in the queue.
 ///
-/// Fitted by weighted least squares; the weight of an observation decays exponentially with each later one, and outliers
-/// are clamped relative to the current estimate.
+/// Fitted by weighted least squares; the weight of an observation decays exponentially with each later one, and
+/// outliers are clamped relative to the current estimate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PrefillSpeed {
     fixed_seconds: f64,
     seconds_per_token: f64,
-    weight: f64,
-    tokens: f64,
-    seconds: f64,
-    tokens_squared: f64,
-    tokens_seconds: f64,
+    weight_sum: f64,
+    tokens_sum: f64,
+    seconds_sum: f64,
+    tokens_squared_sum: f64,
+    tokens_seconds_sum: f64,
     observations: u32,
 }
 
@@ -53,11 +53,11 @@
         Self {
             fixed_seconds: INITIAL_FIXED_SECONDS,
             seconds_per_token,
-            weight: INITIAL_WEIGHT,
-            tokens: INITIAL_WEIGHT * INITIAL_TOKENS,
-            seconds: INITIAL_WEIGHT * seconds,
-            tokens_squared: INITIAL_WEIGHT * INITIAL_TOKENS * INITIAL_TOKENS,
-            tokens_seconds: INITIAL_WEIGHT * INITIAL_TOKENS * seconds,
+            weight_sum: INITIAL_WEIGHT,
+            tokens_sum: INITIAL_WEIGHT * INITIAL_TOKENS,
+            seconds_sum: INITIAL_WEIGHT * seconds,
+            tokens_squared_sum: INITIAL_WEIGHT * INITIAL_TOKENS * INITIAL_TOKENS,
+            tokens_seconds_sum: INITIAL_WEIGHT * INITIAL_TOKENS * seconds,
             observations: 0,
         }
     }
@@ -89,23 +89,23 @@
             .as_secs_f64()
             .clamp(expected / MAX_OUTLIER_RATIO, expected * MAX_OUTLIER_RATIO);
         self.observations = self.observations.saturating_add(1);
-        self.weight = self.weight * DECAY + 1.0;
-        self.tokens = self.tokens * DECAY + tokens;
-        self.seconds = self.seconds * DECAY + seconds;
-        self.tokens_squared = self.tokens_squared * DECAY + tokens * tokens;
-        self.tokens_seconds = self.tokens_seconds * DECAY + tokens * seconds;
+        self.weight_sum = self.weight_sum * DECAY + 1.0;
+        self.tokens_sum = self.tokens_sum * DECAY + tokens;
+        self.seconds_sum = self.seconds_sum * DECAY + seconds;
+        self.tokens_squared_sum = self.tokens_squared_sum * DECAY + tokens * tokens;
+        self.tokens_seconds_sum = self.tokens_seconds_sum * DECAY + tokens * seconds;
         self.fit();
     }
 
     fn fit(&mut self) {
-        let mean_tokens = self.tokens / self.weight;
-        let mean_seconds = self.seconds / self.weight;
+        let mean_tokens = self.tokens_sum / self.weight_sum;
+        let mean_seconds = self.seconds_sum / self.weight_sum;
         if mean_tokens <= 0.0 {
             return;
         }
-        let variance = (self.tokens_squared / self.weight - mean_tokens * mean_tokens).max(0.0);
+        let variance = (self.tokens_squared_sum / self.weight_sum - mean_tokens * mean_tokens).max(0.0);
         if variance.sqrt() >= MIN_RELATIVE_DEVIATION * mean_tokens {
-            let covariance = self.tokens_seconds / self.weight - mean_tokens * mean_seconds;
+            let covariance = self.tokens_seconds_sum / self.weight_sum - mean_tokens * mean_seconds;
             self.seconds_per_token = covariance / variance;
         } else {
             self.seconds_per_token = (mean_seconds - self.fixed_seconds) / mean_tokens;
--- a/crates/core/tests/engine_pace.rs
+++ b/crates/core/tests/engine_pace.rs
@@ -77,7 +77,7 @@
     let begun = at + millis(10);
     router.on_output_started(&ticket, &[], begun);
     router.on_output_ended(&ticket, begun + took);
-    router.on_answered(&ticket);
+    router.on_completed(&ticket);
 }
 
 fn query<'q>(
@@ -215,7 +215,7 @@
                 now + millis(took),
             );
             router.on_output_ended(&ticket, now + millis(took));
-            router.on_answered(&ticket);
+            router.on_completed(&ticket);
         }
     }
     for engine in ["d1", "d2"] {
--- a/crates/core/tests/rate_limit_choice.rs
+++ b/crates/core/tests/rate_limit_choice.rs
@@ -171,7 +171,7 @@
     for _ in 0..800 {
         now = now + Duration::from_micros(62_500);
         let ticket = router.on_output_sent(&EngineId::new("b"), &input.query(0), KvCacheSource::Prefill, now);
-        router.on_answered(&ticket);
+        router.on_completed(&ticket);
     }
     let parts = part(&router, now);
     assert!((parts[0] - 0.25).abs() < 0.02, "{parts:?}");
