--- a/crates/core/src/routing/pool/pace/report.rs
+++ b/crates/core/src/routing/pool/pace/report.rs
@@ -25,7 +25,7 @@
     pub weight: u8,
 }
 
-/// Paces that a node sends to its peers. Lost reports are not sent again; later ones replace them.
+/// Paces of engines that a node sends to its peers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PaceReports {
     /// Momentary paces that differ from the estimates of the receivers.
@@ -40,7 +40,7 @@
         self.figures.is_empty() && self.lasting.is_empty()
     }
 
-    /// Whether the reports can wait for the next periodic message: no momentary pace is among them.
+    /// Whether the reports can wait for the next periodic message.
     pub fn is_deferrable(&self) -> bool {
         self.figures.is_empty()
     }
--- a/crates/core/src/routing/pool/working_set/mod.rs
+++ b/crates/core/src/routing/pool/working_set/mod.rs
@@ -24,7 +24,7 @@
 //! second.
 
 mod groups;
-mod growth;
+mod growing;
 mod load;
 mod members;
 
