--- a/crates/core/src/routing/pool/cost.rs
+++ b/crates/core/src/routing/pool/cost.rs
@@ -200,7 +200,7 @@
             return 0.0;
         }
         let forecast = PauseForecast {
-            event_interval_seconds: self.speeds.pace.seconds(),
+            event_interval_seconds: self.speeds.event_interval.seconds(),
             prefill: self.speeds.decode,
             work_factor: state.work_factor(self.now),
             recent_prefill_tokens: state.recent_prefill.tokens(self.now),
@@ -249,7 +249,7 @@
 
     /// Wait for the KV cache transfers in progress; an engine receives them one after another.
     fn incoming_transfer_cost(&self, load: &EngineLoad) -> f64 {
-        self.weights.arriving * load.moving_tokens * self.move_seconds.unwrap_or_default()
+        self.weights.arriving * load.transfer_tokens * self.move_seconds.unwrap_or_default()
     }
 
     fn load_cost(&self, state: &EngineState, load: &EngineLoad) -> f64 {
--- a/crates/core/tests/pace_world/mod.rs
+++ b/crates/core/tests/pace_world/mod.rs
@@ -208,7 +208,7 @@
             } => {
                 let router = &mut self.routers[request.placer];
                 router.on_output_ended(&ticket, now);
-                router.on_answered(&ticket);
+                router.on_completed(&ticket);
                 self.outcome.requests += 1;
                 self.outcome.in_time += usize::from(in_time);
             }
--- a/crates/core/tests/pauses_world/mod.rs
+++ b/crates/core/tests/pauses_world/mod.rs
@@ -377,7 +377,7 @@
     fn on_ended(&mut self, number: usize, index: usize) {
         self.engines[index].outputs.retain(|running| *running != number);
         if let Some(ticket) = self.requests[number].ticket.take() {
-            self.with_query(number, |router, _, _| router.on_answered(&ticket));
+            self.with_query(number, |router, _, _| router.on_completed(&ticket));
         }
         let request = &self.requests[number];
         self.stats.completed += 1;
