--- a/crates/core/src/placing/placement_table.rs
+++ b/crates/core/src/placing/placement_table.rs
@@ -61,8 +61,8 @@
 }
 
 impl PlacementTable {
-    /// Answers a query and records the chosen dispatch. Returns `None` if the table is full or the query is older than the last
-    /// one for the request.
+    /// Answers a query and records the chosen dispatch. Returns `None` if the table is full or a later query for the request has
+    /// been answered.
     pub fn answer(
         &mut self,
         router: &mut PoolRouter,
--- a/crates/core/src/rate_limit/slot_owner.rs
+++ b/crates/core/src/rate_limit/slot_owner.rs
@@ -37,8 +37,8 @@
 }
 
 impl SlotOwner {
-    /// Reserves a slot at an engine, where `own` is this node and `share` the share of the limit that it may use. No slot is available while
-    /// the share is zero.
+    /// Reserves a slot at an engine; `own` is this node, and `share` the part of the limit that it may use. There are no slots
+    /// while the share is zero.
     pub fn reserve(
         &mut self,
         own: SubjectHandle,
--- a/crates/core/src/routing/health.rs
+++ b/crates/core/src/routing/health.rs
@@ -21,8 +21,8 @@
 const ENGINE_STATE_BACKOFF: Duration = Duration::from_millis(1_000);
 /// Upper bound on any backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(15);
-/// Upper bound on the backoff after missing responses. A machine that was cut off recovers without notice, so requests
-/// must probe it at this interval.
+/// Upper bound on the backoff after missing responses. A machine that was cut off recovers without notice, so only a further
+/// request can detect that.
 const MAX_UNRESPONSIVE_BACKOFF: Duration = Duration::from_secs(2);
 /// Number of consecutive failures after which the backoff no longer doubles.
 const MAX_DOUBLINGS: u32 = 5;
