--- a/crates/core/src/engine_signals/mod.rs
+++ b/crates/core/src/engine_signals/mod.rs
@@ -12,15 +12,15 @@
 pub struct EngineSignals {
     /// Rate limit of the engine.
     pub rate_limit: ResponseLimit,
-    /// Whether the engine drains: it finishes its requests and accepts no new ones.
+    /// Whether the engine is draining: it finishes its current requests and accepts no new ones.
     pub draining: bool,
-    /// Time for which the engine wants no requests from this node.
+    /// Backoff that the engine asks this node for.
     pub backoff: ResponseBackoff,
     /// Name of a header that the adapter does not recognize, so that an unsupported signal can be reported.
     pub unknown_field: Option<String>,
 }
 
-/// Backoff that an engine requests from the node whose request it refused.
+/// Backoff in a response: the time for which the node should send no requests to the engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum ResponseBackoff {
     /// The response contains no backoff.
--- a/crates/core/src/engine_signals/register.rs
+++ b/crates/core/src/engine_signals/register.rs
@@ -1,4 +1,4 @@
-//! Register of engines that drain or have requested a backoff from this node.
+//! Register of engines that are draining or have asked this node for a backoff.
 
 use crate::membership::subject::SubjectHandle;
 use crate::time::MonotonicTime;
@@ -7,12 +7,12 @@
 
 /// Maximum number of draining engines in the register; the oldest entry is evicted first. Twice the size of the largest
 /// supported fleet.
-const MAX_DRAINING: usize = 20_000;
+const MAX_DRAINING_ENGINES: usize = 20_000;
 
-/// Maximum duration of a backoff; longer requests are shortened, and an engine can renew its request.
+/// Maximum duration of a backoff. A longer one is shortened to this, and the engine can ask for another one.
 pub const MAX_BACKOFF: Duration = Duration::from_secs(60);
 
-/// Drain and backoff signals by start of the engine. The register is independent of the engine list, so that an
+/// Drain and backoff signals by engine handle; a restarted engine has a new handle. The register is independent of the engine list, so that an
 /// outdated or restored list entry does not revoke a signal of the engine itself.
 #[derive(Clone, Debug, Default)]
 pub struct SignalRegister {
@@ -23,13 +23,13 @@
 }
 
 impl SignalRegister {
-    /// Records that an engine drains, and returns whether that is new. A drain is final for a start of an engine.
+    /// Records that an engine is draining. Returns whether this was not known before. An engine drains until it is restarted.
     pub fn record_draining(&mut self, engine: SubjectHandle) -> bool {
         if !self.draining.insert(engine) {
             return false;
         }
         self.draining_order.push_back(engine);
-        if self.draining_order.len() > MAX_DRAINING
+        if self.draining_order.len() > MAX_DRAINING_ENGINES
             && let Some(first) = self.draining_order.pop_front()
         {
             self.draining.remove(&first);
@@ -37,12 +37,12 @@
         true
     }
 
-    /// Whether an engine has signaled that it drains.
+    /// Whether an engine has signaled that it is draining.
     pub fn is_draining(&self, engine: SubjectHandle) -> bool {
         self.draining.contains(&engine)
     }
 
-    /// Records a backoff that an engine requested, and returns when it ends. A request never shortens an earlier one.
+    /// Records a backoff that an engine asked for, and returns the end of the backoff. A later signal never makes it end earlier.
     pub fn record_backoff(
         &mut self,
         engine: SubjectHandle,
@@ -56,8 +56,7 @@
         *until
     }
 
-    /// End of the backoff that an engine requested, possibly in the past; `None` if there is none or it was removed
-    /// after its end.
+    /// End of the last backoff of an engine, possibly in the past; `None` if there is none in the register.
     pub fn backoff_end(&self, engine: SubjectHandle) -> Option<MonotonicTime> {
         self.backoffs.get(&engine).copied()
     }
--- a/crates/core/src/placing/config.rs
+++ b/crates/core/src/placing/config.rs
@@ -1,4 +1,4 @@
-//! Settings of request placement by placers.
+//! Settings that decide which nodes choose the engines of requests.
 
 use crate::setting::FieldError;
 use serde::{Deserialize, Serialize};
@@ -8,10 +8,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlacingSettings {
-    /// Number of nodes that choose engines for the whole of a large fleet. Each of them reports its work to all others and
-    /// evaluates every engine for each request that it places.
+    /// Number of placers in a large fleet. Each placer reports its work to all other placers and evaluates every engine for each
+    /// request that it places.
     pub placers: usize,
-    /// Maximum number of nodes in a fleet where each node chooses engines for its own requests.
+    /// Maximum number of nodes in a fleet without placers. In such a fleet, each node chooses engines for its own requests.
     pub alone_up_to: usize,
     /// Timeout for a placer's answer, in milliseconds.
     pub answer_wait_millis: u64,
--- a/crates/core/src/placing/placement_table.rs
+++ b/crates/core/src/placing/placement_table.rs
@@ -24,14 +24,14 @@
 /// Time for which a request is kept after its deadline, so that late reports are still accepted.
 const LATE_REPORT_GRACE: Duration = Duration::from_millis(500);
 
-/// Maximum number of requests in the table; further queries get no answer.
+/// Maximum number of requests in the table. If it is full, queries for other requests get no answer.
 const MAX_PLACED_REQUESTS: usize = 20_000;
 
 /// Interval between removals of expired requests.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Fraction of the maximum event gap that one unit in a report represents.
-const PAUSE_UNIT: f64 = 0.01;
+/// Fraction of the maximum event gap that one unit of a reported pause represents.
+const REPORTED_PAUSE_UNIT: f64 = 0.01;
 
 /// Dispatch of a request that is currently recorded in the router.
 #[derive(Clone, Debug)]
@@ -47,13 +47,13 @@
     prefixes: Vec<PrefixBlock>,
     dispatch: ActiveDispatch,
     prediction: Option<LatencyPrediction>,
-    /// Budget charge of the tenant, until a report shows that the request runs as placed.
+    /// Charge to the tenant's budget that is refunded if the placement is not used; `None` once the request has started.
     charge: Option<Charge>,
     last_answer: PlacementAnswer,
     expires_at: MonotonicTime,
 }
 
-/// Requests that a placer has placed. Does no I/O and reads no clock.
+/// Table of the requests for which a placer has answered a query.
 #[derive(Clone, Debug, Default)]
 pub struct PlacementTable {
     requests: BTreeMap<RequestKey, PlacedRequest>,
@@ -110,7 +110,7 @@
     ) -> PlacementAnswer {
         placed.request = query.request.clone();
         placed.expires_at = now + query.request.remaining + LATE_REPORT_GRACE;
-        placed.close(router, &query.kind, now);
+        placed.end_previous_dispatch(router, &query.kind, now);
         let (verdict, placement) = match &query.kind {
             PlacementKind::Admission(timing) => {
                 let (verdict, placement) = placed.admit(router, query.key, *timing, settings, now);
@@ -183,7 +183,7 @@
 
 impl PlacedRequest {
     /// Ends the current dispatch before a new query for the request is answered.
-    fn close(&mut self, router: &mut PoolRouter, kind: &PlacementKind, now: MonotonicTime) {
+    fn end_previous_dispatch(&mut self, router: &mut PoolRouter, kind: &PlacementKind, now: MonotonicTime) {
         match (
             std::mem::replace(&mut self.dispatch, ActiveDispatch::Inactive),
             kind,
@@ -273,7 +273,7 @@
     ) -> Placement {
         match route {
             PoolRoute::Whole(engine) => {
-                let chosen = self.chosen(router, key, &engine, now);
+                let chosen = self.describe_engine(router, key, &engine, now);
                 let ticket = router.on_output_sent(
                     &engine.id,
                     &self.pool_query(key, &[]),
@@ -284,7 +284,7 @@
                 Placement::One(chosen)
             }
             PoolRoute::Split { prefill, decode } => {
-                let chosen = self.chosen(router, key, &prefill, now);
+                let chosen = self.describe_engine(router, key, &prefill, now);
                 let query = self.pool_query(key, &[]);
                 let expected = router.prefill_delay(&prefill.id, &query, now).unwrap_or_default();
                 let ticket = router.on_prompt_sent(&prefill.id, &query, now);
@@ -316,7 +316,7 @@
         else {
             return Placement::Nowhere;
         };
-        let mut chosen = self.chosen(router, key, &engine, now);
+        let mut chosen = self.describe_engine(router, key, &engine, now);
         chosen.fetch_from = None;
         let ticket = router.on_output_sent(
             &engine.id,
@@ -329,7 +329,7 @@
     }
 
     /// Describes the load and cache state of an engine before the dispatch to it is recorded.
-    fn chosen(
+    fn describe_engine(
         &self,
         router: &PoolRouter,
         key: RequestKey,
@@ -409,7 +409,7 @@
             }
             DispatchProgress::Answered { pauses } => {
                 for pause in pauses {
-                    router.on_pause(&ticket, f64::from(*pause) * PAUSE_UNIT, now);
+                    router.on_pause(&ticket, f64::from(*pause) * REPORTED_PAUSE_UNIT, now);
                 }
                 router.on_output_ended(&ticket, now);
                 router.on_completed(&ticket);
--- a/crates/core/src/placing/placer_set.rs
+++ b/crates/core/src/placing/placer_set.rs
@@ -4,8 +4,8 @@
 use crate::membership::subject::{SubjectHandle, mix};
 use std::time::Duration;
 
-/// Input of the rendezvous hash that ranks candidates.
-const HASH_INPUT: &str = "placing";
+/// Text that the rendezvous hash of a candidate's rank includes.
+const RANK_HASH_INPUT: &str = "placing";
 
 /// A node that may place requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,7 +19,7 @@
 impl Candidate {
     /// Sort key; the greatest ranks first.
     fn rank(&self) -> (u32, u64, SubjectHandle) {
-        let weight = rendezvous::weight(SubjectHandle::of_text("task", HASH_INPUT), self.node);
+        let weight = rendezvous::weight(SubjectHandle::of_text("task", RANK_HASH_INPUT), self.node);
         (self.processor_thousandths, weight, self.node)
     }
 }
@@ -39,30 +39,30 @@
 /// second.
 const TAKEOVER_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Number of candidates that may become placers, as a multiple of the number of placers. They know the whole list of nodes
-/// and hence their own rank in it; other nodes leave vacancies to them.
-const CANDIDATES_PER_PLACE: usize = 3;
+/// Number of candidates that may become placers, for each placer. Only these candidates fetch the whole list of nodes, which
+/// they need to determine their rank.
+const CANDIDATES_PER_PLACER: usize = 3;
 
-/// Number of placers that send frequent updates to a node. With two, the loss of one has no effect until it is replaced.
-const PRIMARY_CONTACTS: usize = 2;
+/// Number of placers that send frequent updates to each node. With two, a node still receives updates after the loss of one.
+const PRIMARY_CONTACTS_PER_NODE: usize = 2;
 
-/// Whether a node that has read only the part `known` of the list must read all of it, because it may rank among the first
-/// `places` candidates or replace one of them. A node that ranks first in the whole list also does so in any part of it.
-pub fn may_become_placer(own: Candidate, known: &[Candidate], places: usize) -> bool {
+/// Whether a node may become a placer, judged from the part `known` of the list of nodes. If so, it must fetch the whole list.
+/// A node never ranks lower in a part of the list than in the whole list.
+pub fn may_become_placer(own: Candidate, known: &[Candidate], placer_count: usize) -> bool {
     let own = own.rank();
-    let before = known.iter().filter(|other| other.rank() > own).count();
-    before < places * CANDIDATES_PER_PLACE
+    let ranked_before = known.iter().filter(|other| other.rank() > own).count();
+    ranked_before < placer_count * CANDIDATES_PER_PLACER
 }
 
 /// Whether a node that knows all other candidates should place requests.
 ///
-/// It should if fewer than `places` active placers rank above it and there is either no vacancy or it is next in rank. A
+/// It should if fewer than `placer_count` active placers rank above it and there is either no vacancy or it is next in rank. A
 /// lower-ranking node fills a vacancy only after one takeover interval for each candidate before it. Otherwise all n nodes
 /// would react to the loss of one placer and send n squared messages.
 pub fn should_place(
     own: Candidate,
     others: impl Iterator<Item = (Candidate, CandidateStatus)>,
-    places: usize,
+    placer_count: usize,
     vacancy_age: Duration,
 ) -> bool {
     let own = own.rank();
@@ -78,9 +78,9 @@
             CandidateStatus::Unresponsive => {}
         }
     }
-    let vacant = places.saturating_sub(active);
+    let vacant = placer_count.saturating_sub(active);
     let elapsed_intervals = (vacancy_age.as_millis() / TAKEOVER_INTERVAL.as_millis()) as usize;
-    active_before < places && (vacant == 0 || listed_before < vacant + elapsed_intervals)
+    active_before < placer_count && (vacant == 0 || listed_before < vacant + elapsed_intervals)
 }
 
 /// The nodes that place requests. Their order has no meaning.
@@ -105,14 +105,14 @@
         &self.placers
     }
 
-    /// Selects the candidates for `places` placers and their standbys.
-    pub fn with_standbys(alive: &[Candidate], places: usize) -> Self {
-        Self::select(alive, places * CANDIDATES_PER_PLACE)
+    /// Selects the candidates for `placer_count` placers and their standbys.
+    pub fn with_standbys(alive: &[Candidate], placer_count: usize) -> Self {
+        Self::select(alive, placer_count * CANDIDATES_PER_PLACER)
     }
 
     /// Whether `placer` sends frequent updates to `node`.
     pub fn is_primary_contact(&self, placer: SubjectHandle, node: SubjectHandle) -> bool {
-        let contacts = self.placers_for(mix(node.number()), |_| false, PRIMARY_CONTACTS);
+        let contacts = self.placers_for(mix(node.number()), |_| false, PRIMARY_CONTACTS_PER_NODE);
         contacts.contains(&placer)
     }
 
@@ -129,12 +129,12 @@
         is_excluded: impl Fn(SubjectHandle) -> bool,
         count: usize,
     ) -> Vec<SubjectHandle> {
-        let remaining: Vec<SubjectHandle> = self
+        let eligible: Vec<SubjectHandle> = self
             .placers
             .iter()
             .copied()
             .filter(|placer| !is_excluded(*placer))
             .collect();
-        rendezvous::choose(SubjectHandle::of_number(subject), &remaining, count)
+        rendezvous::choose(SubjectHandle::of_number(subject), &eligible, count)
     }
 }
--- a/crates/core/src/placing/question.rs
+++ b/crates/core/src/placing/question.rs
@@ -64,7 +64,7 @@
     pub key: RequestKey,
     /// Sequence number of the query among those for the request.
     pub step: u32,
-    /// Properties of the request; part of every query, since any placer may be asked at any time.
+    /// Properties of the request. Every query includes them, because successive queries may go to different placers.
     pub request: RequestSummary,
     /// Requested decision.
     pub kind: PlacementKind,
@@ -73,7 +73,7 @@
 /// An engine that a placer chose, with the state that the choice was based on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChosenEngine {
-    /// Handle of this start of the engine.
+    /// Handle of the engine; a restarted engine has a new handle.
     pub engine: SubjectHandle,
     /// Address of the engine from which it fetches missing prefix blocks; `None` if it fetches none.
     pub fetch_from: Option<SocketAddr>,
@@ -116,7 +116,7 @@
     pub admission: Admission,
     /// Expected time to the first event; zero if there is no estimate.
     pub expected: Duration,
-    /// Factor by which recent requests exceeded the expected time.
+    /// Ratio of actual to expected time to the first event of recent requests.
     pub error: f32,
     /// Fraction of recent requests that were late or refused.
     pub late_or_refused_share: f32,
--- a/crates/core/src/rate_limit/belief.rs
+++ b/crates/core/src/rate_limit/belief.rs
@@ -23,15 +23,15 @@
     Unchanged,
     /// The limit has a new value, or has been added or removed.
     Changed,
-    /// The response has an invalid value, for the first time since the last valid or absent one.
+    /// The response has an invalid value, and the response before it did not.
     Invalid,
 }
 
 /// Time for which notices report that a limit has ended.
 const ENDED_NOTICE_DURATION: Duration = Duration::from_secs(10);
 
-/// Maximum wait for a slot that is remembered before the owner is asked again, because the limit or the owner's share of it
-/// may change.
+/// Maximum time for which a node remembers that no slot is free. After that it asks the owner again, because the limit or the
+/// owner's share of it may have changed.
 const MAX_REMEMBERED_WAIT: Duration = Duration::from_secs(5);
 
 /// Estimated rate limit of one start of an engine.
@@ -67,7 +67,7 @@
                 self.confirmed_locally_at = Some(now);
                 self.update(Some(*limit), now)
             }
-            // Responses may arrive out of order, so this one is as old as its request.
+            // Responses may arrive out of order, so the time of the request is used, not that of the response.
             ResponseLimit::Absent => self.update(None, sent_at),
             ResponseLimit::Invalid(_) => {
                 self.is_invalid = true;
@@ -85,7 +85,7 @@
         self.update(limit, as_of)
     }
 
-    /// Keeps the later of two values. Of two values of the same age, one that names a limit takes precedence.
+    /// Replaces the limit if the new value is more recent. If both are equally recent, a value that names a limit takes precedence.
     fn update(&mut self, limit: Option<RateLimit>, as_of: MonotonicTime) -> LimitChange {
         let is_newer = self
             .as_of
@@ -93,7 +93,7 @@
         if !is_newer {
             return LimitChange::Unchanged;
         }
-        // The engine had no known limit and still names none, so there is nothing to record.
+        // The engine had no known limit and still names none.
         if self.limit.is_none() && limit.is_none() {
             return LimitChange::Unchanged;
         }
--- a/crates/core/src/rate_limit/limit.rs
+++ b/crates/core/src/rate_limit/limit.rs
@@ -6,9 +6,9 @@
 /// Internal units per request per second.
 const UNITS_PER_REQUEST_PER_SECOND: f64 = 1_000.0;
 
-/// Minimum rate at which requests are sent, in requests per second. Without any requests, a later increase of the limit would
-/// go unnoticed.
-const MIN_RATE: f64 = 0.1;
+/// Minimum rate at which requests are sent, in requests per second. A later increase of the limit is detected only in the
+/// response to a request.
+const MIN_SEND_RATE: f64 = 0.1;
 
 /// Requests per second that an engine accepts from all nodes together, stored in thousandths so that limits can be compared
 /// exactly.
@@ -32,7 +32,7 @@
 
     /// Rate at which requests may be sent: the limit, but at least the minimum rate.
     pub fn send_rate(self) -> f64 {
-        self.requests_per_second().max(MIN_RATE)
+        self.requests_per_second().max(MIN_SEND_RATE)
     }
 }
 
--- a/crates/core/src/rate_limit/max_wait.rs
+++ b/crates/core/src/rate_limit/max_wait.rs
@@ -1,17 +1,18 @@
 //! Maximum time that a request waits for a slot at a rate-limited engine.
 //!
-//! Requests with a longer maximum wait get slots that others don't, so the maximum wait decides their priority: retries of
-//! refused requests come before first attempts, and urgent kinds before less urgent ones.
+//! A longer maximum wait gives a request a better chance of a slot. Retries of refused requests therefore wait longer than
+//! first attempts, and urgent kinds of requests longer than less urgent ones.
 
 use std::time::Duration;
 
-/// Fraction of the remaining time that a request of the most urgent rank waits; rank n waits 1 / (n + 1) of it.
-const FIRST_ATTEMPT_FRACTION: f64 = 0.1;
+/// Maximum wait of a first attempt of the most urgent rank, as a fraction of the time until the deadline. The fraction of
+/// rank n is 1 / (n + 1) of this.
+const FIRST_ATTEMPT_WAIT_FRACTION: f64 = 0.1;
 
-/// Fraction of the remaining time for a retry or a request whose prefill is done.
-const RETRY_FRACTION: f64 = 0.25;
+/// Maximum wait of a retry or of a request whose prefill is done, as a fraction of the time until the deadline.
+const RETRY_WAIT_FRACTION: f64 = 0.25;
 
-/// Upper bound on the wait of any request.
+/// Maximum wait of any request.
 pub const MAX_SLOT_WAIT: Duration = Duration::from_secs(1);
 
 /// Properties of a request that determine its maximum wait.
@@ -31,9 +32,9 @@
     /// Maximum wait for a slot, up to [`MAX_SLOT_WAIT`].
     pub fn max_wait(&self) -> Duration {
         let fraction = if self.is_retry_or_prefilled {
-            RETRY_FRACTION
+            RETRY_WAIT_FRACTION
         } else {
-            FIRST_ATTEMPT_FRACTION / (1 + self.rank) as f64
+            FIRST_ATTEMPT_WAIT_FRACTION / (1 + self.rank) as f64
         };
         let max_wait = self.remaining.mul_f64(fraction / self.overuse_factor.max(1.0));
         max_wait.min(MAX_SLOT_WAIT)
--- a/crates/core/src/rate_limit/message.rs
+++ b/crates/core/src/rate_limit/message.rs
@@ -7,7 +7,7 @@
 /// A node's notice of the rate limit of one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitNotice {
-    /// Handle of this start of the engine.
+    /// Handle of the engine; a restarted engine has a new handle.
     pub engine: SubjectHandle,
     /// The limit; `None` if it has ended.
     pub limit: Option<RateLimit>,
--- a/crates/core/src/rate_limit/slot_owner.rs
+++ b/crates/core/src/rate_limit/slot_owner.rs
@@ -8,14 +8,14 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Fraction of all nodes that an owner must reach to use the whole limit. The owners of other partitions use at most the
-/// remaining fraction in addition, so the total stays below 1.5 times the limit.
-const FULL_LIMIT_QUORUM: f64 = 0.65;
+/// Minimum fraction of all nodes that an owner must reach to use the whole limit. The owners of other partitions then share at
+/// most the rest of the nodes, so the total stays below 1.5 times the limit.
+const MIN_FULL_LIMIT_QUORUM: f64 = 0.65;
 
 /// Time without slot requests after which the schedule of an engine is removed.
 const SCHEDULE_RETENTION: Duration = Duration::from_secs(60);
 
-/// Time until the next attempt when the owner does not know the number of nodes yet.
+/// Wait that is returned while the owner does not know the number of nodes yet.
 const NO_SHARE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Owner of an engine's slots; `None` if there are no candidates.
@@ -23,11 +23,15 @@
     rendezvous::choose(engine, candidates, 1).pop()
 }
 
-/// Share of a limit that an owner may use if it reaches `reached` of the `nodes` nodes that support rate limits, both
-/// including itself.
+/// Share of a rate limit that an owner may use. `reached` is the number of nodes that the owner reaches, and `nodes` the number
+/// of all nodes. Both include the owner and count only nodes that support rate limits.
 pub fn limit_share(reached: u32, nodes: u32) -> f64 {
     let share = (f64::from(reached) / f64::from(nodes.max(1))).min(1.0);
-    if share >= FULL_LIMIT_QUORUM { 1.0 } else { share }
+    if share >= MIN_FULL_LIMIT_QUORUM {
+        1.0
+    } else {
+        share
+    }
 }
 
 /// Slot schedules of the engines whose slots one node owns.
@@ -37,8 +41,8 @@
 }
 
 impl SlotOwner {
-    /// Reserves a slot at an engine; `own` is this node, and `share` the part of the limit that it may use. There are no slots
-    /// while the share is zero.
+    /// Reserves a slot at an engine. `own` is this node, and `share` the share of the limit that it may use; if it is zero, no
+    /// slot is granted.
     pub fn reserve(
         &mut self,
         own: SubjectHandle,
@@ -57,7 +61,7 @@
         let (schedule, last_request_at) = self
             .schedules
             .entry(engine)
-            .or_insert_with(|| (SlotSchedule::new(rate, phase(own, engine), now), now));
+            .or_insert_with(|| (SlotSchedule::new(rate, slot_phase(own, engine), now), now));
         *last_request_at = now;
         schedule.reserve(rate, share >= 1.0, max_wait, now)
     }
@@ -69,6 +73,6 @@
 }
 
 /// Offset of an owner's slots within the interval between slots, as a fraction.
-fn phase(own: SubjectHandle, engine: SubjectHandle) -> f64 {
+fn slot_phase(own: SubjectHandle, engine: SubjectHandle) -> f64 {
     mix(own.number() ^ mix(engine.number())) as f64 / u64::MAX as f64
 }
--- a/crates/core/src/rate_limit/slots.rs
+++ b/crates/core/src/rate_limit/slots.rs
@@ -4,8 +4,9 @@
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// Maximum number of unused slots that are still available later, if the owner uses the whole limit.
-const MAX_BURST: u32 = 2;
+/// Maximum number of slots left unused in the past that can still be reserved. Applies only to an owner that may use the whole
+/// limit; other owners keep no unused slots.
+const MAX_BURST_SLOTS: u32 = 2;
 
 /// Result of a reservation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,20 +20,20 @@
 /// Time of the next free slot of one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlotSchedule {
-    next: MonotonicTime,
+    next_slot_at: MonotonicTime,
 }
 
 impl SlotSchedule {
-    /// Creates a schedule without unused slots, since a previous owner may have granted one just before. `phase`, a fraction
-    /// of the interval, offsets the slots of owners that can't reach each other.
+    /// Creates a schedule that has no unused slots from the past, because a previous owner may have granted them already. The
+    /// first slot is free after `phase`, a fraction of the interval that differs between the owners of separate partitions.
     pub fn new(rate: f64, phase: f64, now: MonotonicTime) -> Self {
         Self {
-            next: now + interval(rate).mul_f64(phase),
+            next_slot_at: now + slot_interval(rate).mul_f64(phase),
         }
     }
 
-    /// Reserves the next slot if it is free within `max_wait`. `has_whole_limit` is false if the owner uses only a share of
-    /// the limit.
+    /// Reserves the next slot if it is free within `max_wait`. `has_whole_limit` is false if the owner may use only a
+    /// share of the limit.
     pub fn reserve(
         &mut self,
         rate: f64,
@@ -40,33 +41,35 @@
         max_wait: Duration,
         now: MonotonicTime,
     ) -> Slot {
-        let interval = interval(rate);
-        self.drop_unused(interval, has_whole_limit, now);
-        let wait = self.next.since(now);
+        let interval = slot_interval(rate);
+        self.discard_unused_slots(interval, has_whole_limit, now);
+        let wait = self.next_slot_at.since(now);
         if wait > max_wait {
             return Slot::NotInTime(wait);
         }
-        self.next = self.next + interval;
+        self.next_slot_at = self.next_slot_at + interval;
         Slot::After(wait)
     }
 
-    /// Drops unused slots of the past.
-    fn drop_unused(&mut self, interval: Duration, has_whole_limit: bool, now: MonotonicTime) {
+    /// Discards unused slots that lie too far in the past.
+    fn discard_unused_slots(&mut self, interval: Duration, has_whole_limit: bool, now: MonotonicTime) {
         // The next slot may be too far away if the rate was lower when it was scheduled.
-        self.next = self.next.min(now + interval + max_wait::MAX_SLOT_WAIT);
+        self.next_slot_at = self.next_slot_at.min(now + interval + max_wait::MAX_SLOT_WAIT);
         if has_whole_limit {
-            self.next = self.next.max(now - interval.saturating_mul(MAX_BURST));
-        } else if self.next < now {
+            self.next_slot_at = self
+                .next_slot_at
+                .max(now - interval.saturating_mul(MAX_BURST_SLOTS));
+        } else if self.next_slot_at < now {
             // Keeps the phase, since the idle owners of several partitions would otherwise all grant a slot at once.
-            let elapsed_intervals = now.since(self.next).as_secs_f64() / interval.as_secs_f64();
-            self.next = self.next + interval.mul_f64(elapsed_intervals.ceil());
+            let elapsed_intervals = now.since(self.next_slot_at).as_secs_f64() / interval.as_secs_f64();
+            self.next_slot_at = self.next_slot_at + interval.mul_f64(elapsed_intervals.ceil());
         }
     }
 }
 
 /// Time between two slots.
-fn interval(rate: f64) -> Duration {
-    /// Upper bound in seconds, which keeps the conversion to `Duration` valid.
+fn slot_interval(rate: f64) -> Duration {
+    /// Maximum interval in seconds, which keeps the conversion to `Duration` valid.
     const MAX_INTERVAL_SECONDS: f64 = 1e9;
     Duration::from_secs_f64((1.0 / rate.max(f64::MIN_POSITIVE)).min(MAX_INTERVAL_SECONDS))
 }
--- a/crates/core/src/routing/cache.rs
+++ b/crates/core/src/routing/cache.rs
@@ -18,14 +18,14 @@
         if incarnation < self.incarnation {
             return;
         }
-        self.restart_at(incarnation);
+        self.clear_if_newer(incarnation);
         for event in events {
             self.apply_event(event);
         }
     }
 
     /// Clears the estimate when `incarnation` is newer than the known one.
-    pub fn restart_at(&mut self, incarnation: u64) {
+    pub fn clear_if_newer(&mut self, incarnation: u64) {
         if incarnation > self.incarnation {
             self.incarnation = incarnation;
             self.last_sequence = None;
--- a/crates/core/src/routing/capacity.rs
+++ b/crates/core/src/routing/capacity.rs
@@ -7,9 +7,9 @@
 use crate::service_class::ServiceClass;
 use crate::time::MonotonicTime;
 
-/// Sums over engines. `peer_work_factor` is the amount of unreported work of other gateways that is assumed for each
+/// Total capacity and load of `engines`. `peer_work_factor` is the amount of unreported work of other gateways that is assumed for each
 /// unit of this gateway's own unreported work.
-pub(super) fn sum<'a>(
+pub(super) fn total_capacity<'a>(
     engines: impl Iterator<Item = &'a EngineView>,
     weights: &RoutingWeights,
     gateways: u32,
--- a/crates/core/src/routing/cost.rs
+++ b/crates/core/src/routing/cost.rs
@@ -7,15 +7,15 @@
 //! wait     = queued prompt tokens ahead of this class / prefill speed
 //! compute  = (prompt tokens - w.prefix_overlap * cached tokens) / prefill speed
 //! token    = mean sequences / decode speed * (1 + w.sequence_slowdown * (sequences now - mean sequences))
-//! missing  = requests at the engine in excess of w.batch_places, smoothed
-//! place    = missing / w.batch_places * mean remaining output * token
-//! own      = min(queued prompt tokens / prefill speed, expected output tokens * token)  (mixed engines only)
-//! decode   = expected output tokens * token + place + w.own_stall * own
+//! excess   = requests at the engine in excess of w.batch_places, smoothed
+//! slot     = excess / w.batch_places * mean remaining output tokens * token
+//! backlog  = min(queued prompt tokens / prefill speed, expected output tokens * token)  (mixed engines only)
+//! decode   = expected output tokens * token + slot + w.own_stall * backlog
 //! stall    = compute * decoding sequences           (mixed engines only)
 //! zone     = w.other_zone_seconds if the engine is outside the gateway's zone
 //! prompt   = delay_cost(class) * (w.prefill_wait * wait + w.prefill_compute * compute)
 //!
-//! whole    = prompt + w.decode_queue * decode + w.stall * stall + zone
+//! single   = prompt + w.decode_queue * decode + w.stall * stall + zone
 //! split    = prompt at the prefill engine + zone
 //!          + w.transfer * (setup + prompt tokens / transfer speed + zone if the two engines are in different zones)
 //!          + w.decode_queue * decode at the decode engine
@@ -33,17 +33,17 @@
 use crate::identity::EngineId;
 use crate::time::MonotonicTime;
 
-/// Upper bound on the time between tokens derived from a report, in seconds.
+/// Maximum time between tokens that is derived from a report, in seconds.
 const MAX_TOKEN_SECONDS: f64 = 1.0;
 
-/// Lower bound on the factor that scales the step time when the batch is smaller than during measurement.
+/// Minimum factor that scales the step time when the batch is smaller than during measurement.
 const MIN_STEP_FACTOR: f64 = 0.5;
 
-/// Uncertainty of the estimated number of requests at an engine.
-const REQUESTS_SPREAD: f64 = 4.0;
+/// Uncertainty of the estimated number of requests at an engine, in requests.
+const REQUEST_COUNT_UNCERTAINTY: f64 = 4.0;
 
-/// Upper bound on the exponent, which keeps `exp` finite.
-const MAX_EXPONENT: f64 = 50.0;
+/// Maximum argument of `exp`, which keeps the result finite.
+const MAX_EXP_ARGUMENT: f64 = 50.0;
 
 /// An engine that may receive a request, with the inputs of its cost.
 #[derive(Clone, Debug)]
@@ -54,7 +54,7 @@
     pub view: &'a EngineView,
     /// Prompt tokens that the engine must prefill.
     pub uncached_tokens: f64,
-    /// Estimated queues; [`compare_with_peers`] blends stale reports with the mean of the same role.
+    /// Estimated queues; [`correct_candidates`] blends stale reports with the mean of the same role.
     pub queues: QueueEstimate,
     /// Prefill speed, in tokens per second.
     pub prefill_speed: f64,
@@ -65,7 +65,7 @@
 }
 
 impl<'a> Candidate<'a> {
-    /// Collects the cost inputs of one engine, before the corrections by [`compare_with_peers`].
+    /// Collects the cost inputs of one engine, before the corrections by [`correct_candidates`].
     pub fn new(
         engine: &'a EngineId,
         view: &'a EngineView,
@@ -80,11 +80,11 @@
             view,
             uncached_tokens: uncached_tokens(view, query, weights),
             queues: view.queues(query.class, weights, peer_work_factor, now),
-            prefill_speed: speed(
+            prefill_speed: speed_or_default(
                 load.prefill_tokens_per_second,
                 weights.assumed_prefill_tokens_per_second,
             ),
-            decode_speed: speed(
+            decode_speed: speed_or_default(
                 load.decode_tokens_per_second,
                 weights.assumed_decode_tokens_per_second,
             ),
@@ -118,7 +118,7 @@
             + weights.own_stall * self.concurrent_prefill_stall(output_seconds)
     }
 
-    /// Seconds during which prefill of other requests slows this request's decoding.
+    /// Seconds during which prefill of other requests delays this request's decoding.
     fn concurrent_prefill_stall(&self, output_seconds: f64) -> f64 {
         if self.view.role() != Role::Mixed {
             return 0.0;
@@ -130,10 +130,11 @@
     /// Seconds until a batch slot is free. The number of requests is only an estimate, so the wait grows smoothly while
     /// that number approaches the batch size.
     fn batch_slot_wait(&self, weights: &RoutingWeights) -> f64 {
-        let excess = (self.queues.requests + 1.0 - weights.batch_places) / REQUESTS_SPREAD;
-        let missing = REQUESTS_SPREAD * excess.min(MAX_EXPONENT).exp().ln_1p().max(excess);
+        let excess = (self.queues.requests + 1.0 - weights.batch_places) / REQUEST_COUNT_UNCERTAINTY;
+        let smoothed_excess =
+            REQUEST_COUNT_UNCERTAINTY * excess.min(MAX_EXP_ARGUMENT).exp().ln_1p().max(excess);
         let mean_remaining = self.queues.decode_tokens / self.queues.requests.max(1.0);
-        missing / weights.batch_places * mean_remaining * self.token_seconds(weights)
+        smoothed_excess / weights.batch_places * mean_remaining * self.token_seconds(weights)
     }
 
     /// Cost of running both prefill and decode on this engine.
@@ -195,7 +196,7 @@
 
 /// Divides speeds by each engine's slowness relative to the median, and blends queues of stale reports with the mean of
 /// the same role.
-pub fn compare_with_peers(candidates: &mut [Candidate<'_>], weights: &RoutingWeights, now: MonotonicTime) {
+pub fn correct_candidates(candidates: &mut [Candidate<'_>], weights: &RoutingWeights, now: MonotonicTime) {
     if weights.correct_speeds {
         correct_speeds(candidates);
     }
@@ -204,7 +205,7 @@
         let age = now.since(candidate.view.observed_at).as_secs_f64();
         let report_weight = 0.5_f64.powf(age / weights.report_half_life_seconds);
         let index = role_index(candidate.view.role());
-        candidate.queues = blend(candidate.queues, mean[index], report_weight);
+        candidate.queues = blend_queues(candidate.queues, mean[index], report_weight);
     }
 }
 
@@ -247,7 +248,7 @@
     sums
 }
 
-fn blend(own: QueueEstimate, mean: QueueEstimate, report_weight: f64) -> QueueEstimate {
+fn blend_queues(own: QueueEstimate, mean: QueueEstimate, report_weight: f64) -> QueueEstimate {
     QueueEstimate {
         prefill_tokens: report_weight * own.prefill_tokens + (1.0 - report_weight) * mean.prefill_tokens,
         decode_tokens: report_weight * own.decode_tokens + (1.0 - report_weight) * mean.decode_tokens,
@@ -276,6 +277,6 @@
     tokens * (1.0 - weights.prefix_overlap * cached_share)
 }
 
-fn speed(reported: u64, default: f64) -> f64 {
+fn speed_or_default(reported: u64, default: f64) -> f64 {
     if reported == 0 { default } else { reported as f64 }
 }
--- a/crates/core/src/routing/health.rs
+++ b/crates/core/src/routing/health.rs
@@ -5,27 +5,27 @@
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// Weight of a new observation in the exponential moving average.
-const OBSERVATION_WEIGHT: f64 = 0.2;
-/// Half-life of an observed slowness, after which a recovered engine receives load again.
+/// Weight of a new observation in the moving average of the slowness.
+const SLOWNESS_OBSERVATION_WEIGHT: f64 = 0.2;
+/// Half-life of the observed slowness, so that a recovered engine receives load again.
 const SLOWNESS_HALF_LIFE_SECONDS: f64 = 20.0;
-/// Added to both delays before they are compared, so that differences between very short delays do not count.
-const DELAY_FLOOR_SECONDS: f64 = 0.05;
-/// Upper bound on the slowness factor of one observation.
+/// Added to the observed and the expected delay before they are compared, so that a small difference between short delays
+/// has little effect.
+const DELAY_OFFSET_SECONDS: f64 = 0.05;
+/// Maximum slowness factor of one observation; its reciprocal is the minimum.
 const MAX_DELAY_FACTOR: f64 = 50.0;
 /// Initial backoff after a connection failure or a missing response.
-const CONNECTION_FAILURE_BACKOFF: Duration = Duration::from_millis(500);
+const INITIAL_CONNECTION_FAILURE_BACKOFF: Duration = Duration::from_millis(500);
 /// Initial backoff after the engine reported a full queue.
-const QUEUE_FULL_BACKOFF: Duration = Duration::from_millis(100);
+const INITIAL_QUEUE_FULL_BACKOFF: Duration = Duration::from_millis(100);
 /// Backoff after a refusal that stems from the engine's state, such as draining.
 const ENGINE_STATE_BACKOFF: Duration = Duration::from_millis(1_000);
-/// Upper bound on any backoff.
+/// Maximum backoff after any failure.
 const MAX_BACKOFF: Duration = Duration::from_secs(15);
-/// Upper bound on the backoff after missing responses. A machine that was cut off recovers without notice, so only a further
-/// request can detect that.
+/// Maximum backoff after missing responses. Only another request can detect that an unreachable machine has recovered.
 const MAX_UNRESPONSIVE_BACKOFF: Duration = Duration::from_secs(2);
 /// Number of consecutive failures after which the backoff no longer doubles.
-const MAX_DOUBLINGS: u32 = 5;
+const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
 /// Observed health of one engine.
 #[derive(Clone, Debug, Default)]
@@ -34,16 +34,16 @@
     updated_at: MonotonicTime,
     consecutive_failures: u32,
     backoff_until: MonotonicTime,
-    /// Slow start after the backoff; present where the backoff was caused by missing responses.
+    /// Slow start after the backoff; `None` unless the backoff was caused by missing responses.
     slow_start: Option<SlowStart>,
 }
 
 impl Health {
-    /// Records an observed delay together with the delay expected from the engine's own report.
+    /// Updates the slowness from an observed delay and the delay expected from the engine's own report.
     pub fn observe(&mut self, observed: Duration, expected: Duration, now: MonotonicTime) {
         let factor = delay_factor(observed, expected);
         let current = self.log_slowness_at(now);
-        self.log_slowness = current + OBSERVATION_WEIGHT * (factor.ln() - current);
+        self.log_slowness = current + SLOWNESS_OBSERVATION_WEIGHT * (factor.ln() - current);
         self.updated_at = now;
     }
 
@@ -59,7 +59,7 @@
 
     /// Starts a backoff after a connection to the engine broke or could not be established.
     pub fn on_connection_failure(&mut self, now: MonotonicTime) {
-        self.start_backoff(CONNECTION_FAILURE_BACKOFF, now);
+        self.start_backoff(INITIAL_CONNECTION_FAILURE_BACKOFF, now);
     }
 
     /// Starts a backoff followed by a slow start after the engine did not respond in time to this node or a peer. Returns the
@@ -68,7 +68,7 @@
         if self.is_backing_off(now) {
             return None;
         }
-        self.start_backoff(CONNECTION_FAILURE_BACKOFF, now);
+        self.start_backoff(INITIAL_CONNECTION_FAILURE_BACKOFF, now);
         self.backoff_until = self.backoff_until.min(now + MAX_UNRESPONSIVE_BACKOFF);
         self.slow_start = Some(SlowStart::begin(self.backoff_until));
         Some(self.backoff_until.since(now))
@@ -86,16 +86,16 @@
         ends_backoff
     }
 
-    /// Whether the slow start admits a request; `drawn` is a number specific to the request and the engine.
-    pub fn admits(&self, drawn: u64, now: MonotonicTime) -> bool {
+    /// Whether the slow start admits a request; `selection_key` is specific to the request and the engine.
+    pub fn admits(&self, selection_key: u64, now: MonotonicTime) -> bool {
         self.slow_start
-            .is_none_or(|slow_start| slow_start.admits(drawn, now))
+            .is_none_or(|slow_start| slow_start.admits(selection_key, now))
     }
 
     /// Starts a backoff if the reason for the refusal calls for one.
     pub fn on_refusal(&mut self, reason: EngineRefusalReason, now: MonotonicTime) {
         match reason {
-            EngineRefusalReason::QueueFull => self.start_backoff(QUEUE_FULL_BACKOFF, now),
+            EngineRefusalReason::QueueFull => self.start_backoff(INITIAL_QUEUE_FULL_BACKOFF, now),
             EngineRefusalReason::Draining
             | EngineRefusalReason::Changing
             | EngineRefusalReason::NotLoaded
@@ -114,7 +114,7 @@
         *self = Self::default();
     }
 
-    /// Whether the engine is avoided at present.
+    /// Whether the engine is in backoff.
     pub fn is_backing_off(&self, now: MonotonicTime) -> bool {
         now < self.backoff_until
     }
@@ -124,9 +124,9 @@
         self.is_backing_off(now).then(|| self.backoff_until.since(now))
     }
 
-    fn start_backoff(&mut self, initial: Duration, now: MonotonicTime) {
-        let doublings = self.consecutive_failures.min(MAX_DOUBLINGS);
-        let backoff = initial.saturating_mul(1 << doublings).min(MAX_BACKOFF);
+    fn start_backoff(&mut self, initial_backoff: Duration, now: MonotonicTime) {
+        let doublings = self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
+        let backoff = initial_backoff.saturating_mul(1 << doublings).min(MAX_BACKOFF);
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         self.backoff_until = now + backoff;
         self.slow_start = None;
@@ -140,7 +140,7 @@
 
 /// Ratio of the observed to the expected delay, clamped to a fixed range.
 pub fn delay_factor(observed: Duration, expected: Duration) -> f64 {
-    let observed = observed.as_secs_f64() + DELAY_FLOOR_SECONDS;
-    let expected = expected.as_secs_f64() + DELAY_FLOOR_SECONDS;
+    let observed = observed.as_secs_f64() + DELAY_OFFSET_SECONDS;
+    let expected = expected.as_secs_f64() + DELAY_OFFSET_SECONDS;
     (observed / expected).clamp(1.0 / MAX_DELAY_FACTOR, MAX_DELAY_FACTOR)
 }
--- a/crates/core/src/routing/pool/choice.rs
+++ b/crates/core/src/routing/pool/choice.rs
@@ -257,7 +257,7 @@
                 && state.has_rate_limit_slot(query.slot_max_wait, now)
                 && state.backoff_admits(query, now)
                 && (query.last_resort || state.health.admits(query.draw ^ state.handle.number(), now))
-                && self.reaches(query, &state.engine.zone, now)
+                && self.may_send_to_zone(query, &state.engine.zone, now)
                 && !query.excluded.contains(&state.engine.id)
                 && query
                     .prompt
--- a/crates/core/src/routing/pool/expectation.rs
+++ b/crates/core/src/routing/pool/expectation.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 /// Step size by which a quantile estimate moves with each observation.
-const QUANTILE_STEP: f64 = 0.02;
+const QUANTILE_STEP_SIZE: f64 = 0.02;
 
 /// Minimum and maximum of a quantile estimate.
 const QUANTILE_BOUNDS: (f64, f64) = (0.3, 4.0);
 
 /// Added to the expected and the actual duration before they are compared, in seconds, so that a small absolute error
 /// of a short duration does not count as a large relative error.
-const ERROR_OFFSET_SECONDS: f64 = 0.020;
+const DURATION_OFFSET_SECONDS: f64 = 0.020;
 
 /// Quantile that the optimistic estimate tracks.
 const OPTIMISTIC_QUANTILE: f64 = 0.2;
@@ -37,7 +37,7 @@
             self.quantile - 1.0
         };
         let (min, max) = QUANTILE_BOUNDS;
-        self.value = (self.value + QUANTILE_STEP * step).clamp(min, max);
+        self.value = (self.value + QUANTILE_STEP_SIZE * step).clamp(min, max);
     }
 }
 
@@ -58,7 +58,7 @@
 }
 
 impl EstimateError {
-    /// Error factor, interpolated from the optimistic estimate at a caution of zero to the conservative one at one.
+    /// Error factor for a `caution` from zero (the optimistic estimate) to one (the conservative one), interpolated linearly.
     pub fn factor(&self, caution: f64) -> f64 {
         let conservative = self.conservative.value.max(self.optimistic.value);
         self.optimistic.value + caution.clamp(0.0, 1.0) * (conservative - self.optimistic.value)
@@ -66,24 +66,24 @@
 
     /// Records one first event.
     pub fn observe(&mut self, expected: Duration, took: Duration) {
-        let ratio =
-            (took.as_secs_f64() + ERROR_OFFSET_SECONDS) / (expected.as_secs_f64() + ERROR_OFFSET_SECONDS);
+        let ratio = (took.as_secs_f64() + DURATION_OFFSET_SECONDS)
+            / (expected.as_secs_f64() + DURATION_OFFSET_SECONDS);
         self.optimistic.observe(ratio);
         self.conservative.observe(ratio);
     }
 }
 
 /// Quantile of the pauses between events that is tracked.
-const PAUSE_QUANTILE: f64 = 0.8;
+const TRACKED_PAUSE_QUANTILE: f64 = 0.8;
 
-/// Initial estimate, as a fraction of the maximum tolerated pause.
+/// Initial estimate of the pause quantile, as a fraction of the maximum tolerated pause.
 const INITIAL_PAUSE_FRACTION: f64 = 0.5;
 
-/// Fraction of the maximum tolerated pause up to which the harm is zero.
-const MIN_HARMFUL_PAUSE_FRACTION: f64 = 0.4;
+/// Largest pause that counts as harmless, as a fraction of the maximum tolerated pause.
+const MAX_HARMLESS_PAUSE_FRACTION: f64 = 0.4;
 
-/// Fraction of the maximum tolerated pause from which the harm is one.
-const MAX_HARM_PAUSE_FRACTION: f64 = 0.9;
+/// Smallest pause that counts as fully harmful, as a fraction of the maximum tolerated pause.
+const MIN_FULL_HARM_PAUSE_FRACTION: f64 = 0.9;
 
 /// Pauses between output events at engines with concurrent prefill, as a fraction of the maximum tolerated pause.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -93,7 +93,7 @@
 
 impl Default for PrefillPauses {
     fn default() -> Self {
-        let mut fraction = Quantile::new(PAUSE_QUANTILE);
+        let mut fraction = Quantile::new(TRACKED_PAUSE_QUANTILE);
         fraction.value = INITIAL_PAUSE_FRACTION;
         Self { fraction }
     }
@@ -107,14 +107,14 @@
 
     /// Harm of concurrent prefill to outputs, from zero (pauses well below the maximum) to one (outputs are late).
     pub fn harm(&self) -> f64 {
-        ((self.fraction.value - MIN_HARMFUL_PAUSE_FRACTION)
-            / (MAX_HARM_PAUSE_FRACTION - MIN_HARMFUL_PAUSE_FRACTION))
+        ((self.fraction.value - MAX_HARMLESS_PAUSE_FRACTION)
+            / (MIN_FULL_HARM_PAUSE_FRACTION - MAX_HARMLESS_PAUSE_FRACTION))
             .clamp(0.0, 1.0)
     }
 }
 
-/// Weight of a new request in the moving average.
-const REJECTION_WEIGHT: f64 = 0.05;
+/// Weight of a new request in the moving average of the rejection rate.
+const REJECTION_OBSERVATION_WEIGHT: f64 = 0.05;
 
 /// Moving average of the share of requests that could not meet their deadline.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -131,6 +131,6 @@
     /// Records one request.
     pub fn observe(&mut self, is_rejected: bool) {
         let value = if is_rejected { 1.0 } else { 0.0 };
-        self.share += REJECTION_WEIGHT * (value - self.share);
+        self.share += REJECTION_OBSERVATION_WEIGHT * (value - self.share);
     }
 }
--- a/crates/core/src/routing/pool/pool_speeds.rs
+++ b/crates/core/src/routing/pool/pool_speeds.rs
@@ -5,26 +5,26 @@
 use super::speed::{MAX_OUTLIER_RATIO, PrefillSpeed};
 use std::time::Duration;
 
-/// Weight of a new observation in the moving averages.
-const OBSERVATION_WEIGHT: f64 = 0.1;
+/// Weight of a new observation in the moving averages of durations.
+const DURATION_OBSERVATION_WEIGHT: f64 = 0.1;
 
 /// Initial estimate of the handoff duration, in seconds.
 const INITIAL_HANDOFF_SECONDS: f64 = 0.020;
 
-/// Minimum of the base to which `MAX_OUTLIER_RATIO` applies, in seconds.
-const MIN_OUTLIER_BASE_SECONDS: f64 = 0.010;
+/// Minimum average to which `MAX_OUTLIER_RATIO` is applied, in seconds.
+const MIN_OUTLIER_REFERENCE_SECONDS: f64 = 0.010;
 
 /// Updates a moving average with an observation, clamped to a maximum ratio to the average.
 fn update_average(mean: &mut f64, observed: f64) {
-    let max = mean.max(MIN_OUTLIER_BASE_SECONDS) * MAX_OUTLIER_RATIO;
-    *mean += OBSERVATION_WEIGHT * (observed.min(max) - *mean);
+    let max_observed = mean.max(MIN_OUTLIER_REFERENCE_SECONDS) * MAX_OUTLIER_RATIO;
+    *mean += DURATION_OBSERVATION_WEIGHT * (observed.min(max_observed) - *mean);
 }
 
 /// Initial estimate of the queueing time at a full engine, in seconds.
 const INITIAL_QUEUE_WAIT_SECONDS: f64 = 0.100;
 
 /// Initial prefill speed of requests of the lowest rank, relative to other requests.
-const INITIAL_LATE_SPEED_RATIO: f64 = 0.5;
+const INITIAL_LATE_PREFILL_SPEED_RATIO: f64 = 0.5;
 
 /// Measured durations and statistics of one pool, which the estimates of new requests use.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -33,7 +33,7 @@
     pub prefill: PrefillSpeed,
     /// Prefill at decode engines, until the first output event.
     pub decode: PrefillSpeed,
-    /// Prefill of requests of the lowest rank, which run after all that can still be in time.
+    /// Prefill of requests of the lowest rank, which run after all requests that can still meet their deadline.
     pub late: PrefillSpeed,
     /// Mean time in seconds from a decode dispatch after a prefill at another engine to its first event, if the
     /// engine was not full.
@@ -57,7 +57,7 @@
         Self {
             prefill: PrefillSpeed::with_initial_speed(tokens_per_second),
             decode: PrefillSpeed::with_initial_speed(tokens_per_second * decode_speed_ratio),
-            late: PrefillSpeed::with_initial_speed(tokens_per_second * INITIAL_LATE_SPEED_RATIO),
+            late: PrefillSpeed::with_initial_speed(tokens_per_second * INITIAL_LATE_PREFILL_SPEED_RATIO),
             handoff_seconds: INITIAL_HANDOFF_SECONDS,
             queue_wait_seconds: INITIAL_QUEUE_WAIT_SECONDS,
             estimate_error: EstimateError::default(),
--- a/crates/core/src/routing/pool/reachability.rs
+++ b/crates/core/src/routing/pool/reachability.rs
@@ -7,8 +7,8 @@
 use crate::time::MonotonicTime;
 
 impl PoolRouter {
-    /// Whether the request may be sent to a zone; always true as a last resort.
-    pub(super) fn reaches(&self, query: &PoolQuery<'_>, zone: &ZoneId, now: MonotonicTime) -> bool {
+    /// Whether the state of the network paths allows sending the request to a zone; always true as a last resort.
+    pub(super) fn may_send_to_zone(&self, query: &PoolQuery<'_>, zone: &ZoneId, now: MonotonicTime) -> bool {
         let may_be_trial = !query.constraints.single_try;
         query.last_resort || self.paths.admits(query.zone, zone, query.draw, may_be_trial, now)
     }
--- a/crates/core/src/routing/pool/speed.rs
+++ b/crates/core/src/routing/pool/speed.rs
@@ -2,34 +2,34 @@
 
 use std::time::Duration;
 
-/// Factor by which the weight of older observations decays with each new one.
-const DECAY: f64 = 0.97;
+/// Factor by which each new observation reduces the weight of the earlier ones.
+const OBSERVATION_DECAY_FACTOR: f64 = 0.97;
 
 /// Weight of the initial estimate, in observations.
-const INITIAL_WEIGHT: f64 = 2.0;
+const INITIAL_ESTIMATE_WEIGHT: f64 = 2.0;
 
 /// Maximum ratio between an observation and its expected value, in either direction. Observations beyond it are
-/// clamped, so that an outlier has little effect while a lasting change is still followed.
+/// clamped, so that a single outlier has little effect on the estimate.
 pub(super) const MAX_OUTLIER_RATIO: f64 = 2.5;
 
 /// Minimum standard deviation of the token counts, relative to their mean, at which both parameters are fitted. Below
-/// it, the fixed part cannot be told from the time per token.
-const MIN_RELATIVE_DEVIATION: f64 = 0.25;
+/// it, the fixed part cannot be distinguished from the time per token.
+const MIN_RELATIVE_TOKEN_DEVIATION: f64 = 0.25;
 
 /// Minimum number of observations before the estimate counts as learned.
 const MIN_LEARNED_OBSERVATIONS: u32 = 20;
 
 /// Initial estimate of the fixed part of a prefill, in seconds.
-const INITIAL_FIXED_SECONDS: f64 = 0.010;
+const INITIAL_FIXED_PREFILL_SECONDS: f64 = 0.010;
 
-/// Token count of the observation that stands for the initial estimate.
-const INITIAL_TOKENS: f64 = 5_000.0;
+/// Token count of the artificial observation that represents the initial estimate.
+const INITIAL_PREFILL_TOKENS: f64 = 5_000.0;
 
 /// Minimum estimated time per token, in seconds.
 const MIN_SECONDS_PER_TOKEN: f64 = 1e-8;
 
-/// Linear model of the time until a prompt is prefilled, as a function of the tokens to prefill until then, including
-/// those of prompts ahead in the queue.
+/// Linear model of the time until a prompt is prefilled. Its input is the number of tokens in the prompt and in the prompts
+/// ahead of it in the queue.
 ///
 /// Fitted by weighted least squares; the weight of an observation decays exponentially with each later one, and
 /// outliers are clamped relative to the current estimate.
@@ -49,20 +49,20 @@
     /// Creates an estimate with an initial speed in tokens per second.
     pub fn with_initial_speed(tokens_per_second: f64) -> Self {
         let seconds_per_token = 1.0 / tokens_per_second;
-        let seconds = INITIAL_FIXED_SECONDS + INITIAL_TOKENS * seconds_per_token;
+        let seconds = INITIAL_FIXED_PREFILL_SECONDS + INITIAL_PREFILL_TOKENS * seconds_per_token;
         Self {
-            fixed_seconds: INITIAL_FIXED_SECONDS,
+            fixed_seconds: INITIAL_FIXED_PREFILL_SECONDS,
             seconds_per_token,
-            weight_sum: INITIAL_WEIGHT,
-            tokens_sum: INITIAL_WEIGHT * INITIAL_TOKENS,
-            seconds_sum: INITIAL_WEIGHT * seconds,
-            tokens_squared_sum: INITIAL_WEIGHT * INITIAL_TOKENS * INITIAL_TOKENS,
-            tokens_seconds_sum: INITIAL_WEIGHT * INITIAL_TOKENS * seconds,
+            weight_sum: INITIAL_ESTIMATE_WEIGHT,
+            tokens_sum: INITIAL_ESTIMATE_WEIGHT * INITIAL_PREFILL_TOKENS,
+            seconds_sum: INITIAL_ESTIMATE_WEIGHT * seconds,
+            tokens_squared_sum: INITIAL_ESTIMATE_WEIGHT * INITIAL_PREFILL_TOKENS * INITIAL_PREFILL_TOKENS,
+            tokens_seconds_sum: INITIAL_ESTIMATE_WEIGHT * INITIAL_PREFILL_TOKENS * seconds,
             observations: 0,
         }
     }
 
-    /// Whether there were enough observations for the estimate not to depend on the initial speed.
+    /// Whether there are enough observations that the initial speed has little effect on the estimate.
     pub fn is_learned(&self) -> bool {
         self.observations >= MIN_LEARNED_OBSERVATIONS
     }
@@ -82,18 +82,18 @@
         self.fixed_seconds + tokens * self.seconds_per_token
     }
 
-    /// Records one prefill: the tokens processed until it was done, and the elapsed time.
+    /// Records one prefill: the number of tokens processed until it was done, and the time that this took.
     pub fn observe(&mut self, tokens: f64, took: Duration) {
         let expected = self.seconds(tokens);
         let seconds = took
             .as_secs_f64()
             .clamp(expected / MAX_OUTLIER_RATIO, expected * MAX_OUTLIER_RATIO);
         self.observations = self.observations.saturating_add(1);
-        self.weight_sum = self.weight_sum * DECAY + 1.0;
-        self.tokens_sum = self.tokens_sum * DECAY + tokens;
-        self.seconds_sum = self.seconds_sum * DECAY + seconds;
-        self.tokens_squared_sum = self.tokens_squared_sum * DECAY + tokens * tokens;
-        self.tokens_seconds_sum = self.tokens_seconds_sum * DECAY + tokens * seconds;
+        self.weight_sum = self.weight_sum * OBSERVATION_DECAY_FACTOR + 1.0;
+        self.tokens_sum = self.tokens_sum * OBSERVATION_DECAY_FACTOR + tokens;
+        self.seconds_sum = self.seconds_sum * OBSERVATION_DECAY_FACTOR + seconds;
+        self.tokens_squared_sum = self.tokens_squared_sum * OBSERVATION_DECAY_FACTOR + tokens * tokens;
+        self.tokens_seconds_sum = self.tokens_seconds_sum * OBSERVATION_DECAY_FACTOR + tokens * seconds;
         self.fit();
     }
 
@@ -104,14 +104,16 @@
             return;
         }
         let variance = (self.tokens_squared_sum / self.weight_sum - mean_tokens * mean_tokens).max(0.0);
-        if variance.sqrt() >= MIN_RELATIVE_DEVIATION * mean_tokens {
+        if variance.sqrt() >= MIN_RELATIVE_TOKEN_DEVIATION * mean_tokens {
             let covariance = self.tokens_seconds_sum / self.weight_sum - mean_tokens * mean_seconds;
             self.seconds_per_token = covariance / variance;
         } else {
             self.seconds_per_token = (mean_seconds - self.fixed_seconds) / mean_tokens;
         }
-        let max = (mean_seconds / mean_tokens).max(MIN_SECONDS_PER_TOKEN);
-        self.seconds_per_token = self.seconds_per_token.clamp(MIN_SECONDS_PER_TOKEN, max);
+        let max_seconds_per_token = (mean_seconds / mean_tokens).max(MIN_SECONDS_PER_TOKEN);
+        self.seconds_per_token = self
+            .seconds_per_token
+            .clamp(MIN_SECONDS_PER_TOKEN, max_seconds_per_token);
         // Rounding errors may make an intercept of zero slightly negative.
         self.fixed_seconds = (mean_seconds - mean_tokens * self.seconds_per_token).max(0.0);
     }
--- a/crates/core/src/routing/prefix.rs
+++ b/crates/core/src/routing/prefix.rs
@@ -15,7 +15,7 @@
 /// prompts of the same tenant.
 const WORD_END: u8 = 0;
 
-/// Conditions, besides an equal prompt, under which a KV cache may be shared.
+/// Properties that must match, in addition to the prompt, before two requests may share a KV cache.
 #[derive(Clone, Copy, Debug)]
 pub struct PrefixScope<'a> {
     /// Secret salt of the tenant.
@@ -71,12 +71,12 @@
     PromptBlocks { tokens, hashes }
 }
 
-/// Number of leading blocks of `wanted` for which `held` returns true.
-pub fn matching_blocks(wanted: &[u64], held: impl Fn(u64) -> bool) -> usize {
-    wanted.iter().take_while(|hash| held(**hash)).count()
+/// Number of leading blocks of `wanted` for which `is_cached` returns true.
+pub fn matching_blocks(wanted: &[u64], is_cached: impl Fn(u64) -> bool) -> usize {
+    wanted.iter().take_while(|hash| is_cached(**hash)).count()
 }
 
-/// Digest that the first block is chained to.
+/// Digest that the hash of the first block includes in place of a preceding block.
 fn chain_start(scope: &PrefixScope<'_>) -> [u8; 32] {
     let adapter = scope.adapter.map_or("", AdapterId::as_str);
     let mut start = Sha256::new();
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -1,6 +1,6 @@
 //! Router that chooses engines by cost.
 
-use super::cost::{Candidate, compare_with_peers};
+use super::cost::{Candidate, correct_candidates};
 use super::query::{DispatchTicket, FinishedWork, Route, RouteEstimate, RouteQuery};
 use super::selection::{cheapest, sample};
 use super::view::{EngineView, InFlightWork};
@@ -16,16 +16,16 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Minimum number of output tokens for an observation of the time between tokens.
-const MIN_OBSERVED_TOKENS: u32 = 8;
+/// Minimum number of output tokens in a response from which the time between tokens is measured.
+const MIN_OBSERVED_OUTPUT_TOKENS: u32 = 8;
 
 /// Chooses engines for requests. Does no I/O and reads no clock.
 #[derive(Clone, Debug)]
 pub struct KvRouter {
     weights: RoutingWeights,
     engines: BTreeMap<EngineId, EngineView>,
-    gateways: u32,
-    dispatches: u64,
+    gateway_count: u32,
+    dispatch_count: u64,
 }
 
 impl KvRouter {
@@ -34,14 +34,14 @@
         Self {
             weights,
             engines: BTreeMap::new(),
-            gateways: 1,
-            dispatches: 0,
+            gateway_count: 1,
+            dispatch_count: 0,
         }
     }
 
-    /// Sets the number of gateways that share the engines, including this one; at min_seconds one.
+    /// Sets the number of gateways that share the engines, including this one; zero counts as one.
     pub fn set_gateways(&mut self, gateways: u32) {
-        self.gateways = gateways.max(1);
+        self.gateway_count = gateways.max(1);
     }
 
     /// Adds or updates an engine from a membership record that was observed `age` ago.
@@ -82,12 +82,13 @@
         query: &RouteQuery,
         now: MonotonicTime,
     ) -> DispatchTicket {
-        self.dispatches += 1;
-        let number = self.dispatches;
+        self.dispatch_count += 1;
+        let number = self.dispatch_count;
         let mut expected_first_token = Duration::ZERO;
         let mut expected_cached_tokens = 0;
         if let Some((engine, view)) = self.engines.get_key_value(engine) {
-            let work = in_flight_work(engine, view, query, &self.weights, self.peer_work_factor(), now);
+            let work =
+                create_in_flight_work(engine, view, query, &self.weights, self.peer_work_factor(), now);
             expected_first_token = work.expected_first_token;
             let computed = work.prefill_tokens.min(f64::from(query.prompt_tokens)) as u32;
             expected_cached_tokens = query.prompt_tokens - computed;
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Records the first part of a response: a token, or the end of prefill.
+    /// Records the first output of a dispatch: a token, or the end of prefill at a prefill engine.
     pub fn on_first_output(&mut self, engine: &EngineId, ticket: &DispatchTicket, now: MonotonicTime) {
         let Some(view) = self.engines.get_mut(engine) else {
             return;
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Records the complete end of a response.
+    /// Records that a response has ended successfully.
     pub fn on_finished(
         &mut self,
         engine: &EngineId,
@@ -130,7 +131,7 @@
         }
         if let Some(view) = self.engines.get_mut(engine) {
             if let Some(sent) = view.record_end(ticket.number) {
-                observe_tokens(view, &sent, work, now);
+                observe_token_interval(view, &sent, work, now);
             }
             view.health.on_success();
         }
@@ -173,7 +174,7 @@
         if candidates.is_empty() {
             return Route::Nowhere(self.refusal_reason(query));
         }
-        compare_with_peers(&mut candidates, &self.weights, now);
+        correct_candidates(&mut candidates, &self.weights, now);
         let sampled = sample(candidates, self.weights.compare_all_up_to, random);
         cheapest(&sampled, query, &self.weights).unwrap_or(Route::Nowhere(RefusalReason::EnginesRefused))
     }
@@ -181,12 +182,12 @@
     /// Lowest expected delays of a request over all engines; `None` if no engine can accept it.
     pub fn estimate(&self, query: &RouteQuery, now: MonotonicTime) -> Option<RouteEstimate> {
         let mut candidates = self.candidates(query, now);
-        compare_with_peers(&mut candidates, &self.weights, now);
-        let wait = min_seconds(
+        correct_candidates(&mut candidates, &self.weights, now);
+        let wait = min_delay_seconds(
             candidates.iter().filter(|candidate| candidate.runs_prefill()),
             |candidate| candidate.prefill_wait_seconds() + candidate.prefill_seconds(),
         )?;
-        let decode = min_seconds(
+        let decode = min_delay_seconds(
             candidates.iter().filter(|candidate| candidate.runs_decode()),
             |candidate| f64::from(query.expected_output_tokens) * candidate.token_seconds(&self.weights),
         )?;
@@ -202,10 +203,10 @@
             .engines
             .values()
             .filter(|view| view.accepts_new_work() && view.holds_model(model));
-        super::capacity::sum(
+        super::capacity::total_capacity(
             serving,
             &self.weights,
-            self.gateways,
+            self.gateway_count,
             self.peer_work_factor(),
             now,
         )
@@ -223,7 +224,7 @@
 
     /// Amount of unreported work of other gateways that is assumed for each unit of own unreported work.
     fn peer_work_factor(&self) -> f64 {
-        self.weights.alike_choices * f64::from(self.gateways - 1)
+        self.weights.alike_choices * f64::from(self.gateway_count - 1)
     }
 
     fn candidates<'a>(&'a self, query: &RouteQuery, now: MonotonicTime) -> Vec<Candidate<'a>> {
@@ -263,7 +264,7 @@
     }
 }
 
-fn in_flight_work(
+fn create_in_flight_work(
     engine: &EngineId,
     view: &EngineView,
     query: &RouteQuery,
@@ -289,7 +290,7 @@
         prefill_tokens,
         decode_tokens,
         expected_first_token: Duration::from_secs_f64(expected),
-        expected_token: Duration::from_secs_f64(candidate.token_seconds(weights)),
+        expected_token_interval: Duration::from_secs_f64(candidate.token_seconds(weights)),
         has_started: false,
         cached_fraction: cached_fraction(&candidate, query),
         class: query.class,
@@ -304,22 +305,28 @@
     1.0 - candidate.uncached_tokens / f64::from(query.prompt_tokens)
 }
 
-/// Records the time between tokens against the one expected from the engine's report.
-fn observe_tokens(view: &mut EngineView, sent: &InFlightWork, work: &FinishedWork, now: MonotonicTime) {
+/// Compares the observed time between tokens with the one expected from the engine's report, and records the result.
+fn observe_token_interval(
+    view: &mut EngineView,
+    sent: &InFlightWork,
+    work: &FinishedWork,
+    now: MonotonicTime,
+) {
     let Some(first_token) = work.first_token else {
         return;
     };
-    if work.output_tokens < MIN_OBSERVED_TOKENS {
+    if work.output_tokens < MIN_OBSERVED_OUTPUT_TOKENS {
         return;
     }
     let gaps = work.output_tokens - 1;
     let observed = work.total.saturating_sub(first_token);
-    view.health.observe(observed, sent.expected_token * gaps, now);
+    view.health
+        .observe(observed, sent.expected_token_interval * gaps, now);
 }
 
-fn min_seconds<'c, 'a: 'c>(
+fn min_delay_seconds<'c, 'a: 'c>(
     candidates: impl Iterator<Item = &'c Candidate<'a>>,
-    seconds: impl Fn(&Candidate<'a>) -> f64,
+    delay_seconds: impl Fn(&Candidate<'a>) -> f64,
 ) -> Option<f64> {
-    candidates.map(seconds).min_by(f64::total_cmp)
+    candidates.map(delay_seconds).min_by(f64::total_cmp)
 }
--- a/crates/core/src/routing/selection.rs
+++ b/crates/core/src/routing/selection.rs
@@ -6,11 +6,11 @@
 use crate::engine::Role;
 use rand::{Rng, RngCore};
 
-/// Number of random candidates of each role in the sample of a large candidate set.
-const RANDOM_CANDIDATES: usize = 2;
+/// Number of randomly chosen candidates of each role when a large candidate set is sampled.
+const RANDOM_CANDIDATES_PER_ROLE: usize = 2;
 
-/// Selects the candidates to compare: all of a small set; of a large set, for each role, the candidate with the longest cached
-/// prefix and two random ones.
+/// Selects the candidates to compare. A small set is used whole; a large one is reduced to three candidates of each role: the
+/// one with the longest cached prefix and two random ones.
 pub(super) fn sample<'a>(
     mut candidates: Vec<Candidate<'a>>,
     compare_all_up_to: usize,
@@ -49,8 +49,8 @@
             single_route(candidate)
         }
         (_, Some((_, prefill, decode))) => Some(Route::Split {
-            prefill: target(prefill)?,
-            decode: target(decode)?,
+            prefill: route_target(prefill)?,
+            decode: route_target(decode)?,
         }),
         (Some((_, candidate)), None) => single_route(candidate),
         (None, None) => None,
@@ -92,7 +92,7 @@
     if let Some(index) = best_cached {
         sampled.push(candidates.swap_remove(index));
     }
-    for _ in 0..RANDOM_CANDIDATES {
+    for _ in 0..RANDOM_CANDIDATES_PER_ROLE {
         if candidates.is_empty() {
             return;
         }
@@ -108,7 +108,7 @@
     })
 }
 
-fn target(candidate: &Candidate<'_>) -> Option<RouteTarget> {
+fn route_target(candidate: &Candidate<'_>) -> Option<RouteTarget> {
     Some(RouteTarget {
         engine: candidate.engine.clone(),
         address: candidate.view.address()?,
--- a/crates/core/src/routing/slow_start.rs
+++ b/crates/core/src/routing/slow_start.rs
@@ -5,13 +5,13 @@
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// Fraction of the requests that is admitted from the start.
+/// Fraction of requests that are admitted at the beginning of a slow start.
 const FIRST_PART: f64 = 0.1;
 
-/// Time until all requests are admitted. Full load at once would build a queue before the first response reports it.
+/// Time until all requests are admitted. Admitting all of them at once would build a queue before a response reports it.
 const SLOW_START_DURATION: Duration = Duration::from_millis(1_000);
 
-/// A slow start that has begun.
+/// Slow start of one engine or network path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlowStart {
     since: MonotonicTime,
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -17,14 +17,15 @@
 
 /// Multiple of the expected time to first token after which a request is overdue.
 const OVERDUE_FACTOR: u32 = 3;
-/// Minimum wait of an overdue request; covers the delay of reports and the scheduling of other classes.
+/// Minimum time without a response after which a request is overdue. Allows for delayed load reports and for requests of other
+/// classes that the engine schedules first.
 const MIN_OVERDUE_WAIT: Duration = Duration::from_secs(2);
 
 /// Weight of a new report in the moving average of decoding sequences; matches the window over which engines measure
 /// their speed.
-const SEQUENCES_WEIGHT: f64 = 0.2;
-/// Initial average of decoding sequences, before a report with active sequences.
-const DEFAULT_SEQUENCES: f64 = 12.0;
+const SEQUENCES_OBSERVATION_WEIGHT: f64 = 0.2;
+/// Initial value of the moving average of decoding sequences.
+const INITIAL_MEAN_SEQUENCES: f64 = 12.0;
 
 /// A dispatch of this router to an engine that has not ended.
 #[derive(Clone, Debug)]
@@ -38,7 +39,7 @@
     /// Time to first token that was expected at dispatch.
     pub expected_first_token: Duration,
     /// Time between tokens that was expected at dispatch.
-    pub expected_token: Duration,
+    pub expected_token_interval: Duration,
     /// Whether the first part of the response has arrived.
     pub has_started: bool,
     /// Fraction of the prompt that was expected to be in the engine's prefix cache.
@@ -73,30 +74,31 @@
     pub observed_at: MonotonicTime,
     /// Estimated content of its prefix cache.
     pub cache: CacheEstimate,
-    /// Observed slowness and backoff.
+    /// Slowness of the engine relative to its own reports, and its backoff.
     pub health: Health,
     mean_sequences: f64,
     dispatches: BTreeMap<u64, InFlightWork>,
-    unreported: Unreported,
+    unreported: UnreportedWork,
 }
 
-/// Sums over the dispatches that no load report includes yet.
+/// Total work of the dispatches that no load report includes yet.
 #[derive(Clone, Copy, Debug, Default)]
-struct Unreported {
-    own: UnreportedSum,
-    /// The part that other gateways are likely to have sent as well: without work routed for a cached prefix.
-    cache_independent: UnreportedSum,
+struct UnreportedWork {
+    own: UnreportedWorkSum,
+    /// The same work, but each dispatch counts only in proportion to the uncached fraction of its prompt. Other gateways are
+    /// likely to have sent a similar amount.
+    cache_independent: UnreportedWorkSum,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct UnreportedSum {
+struct UnreportedWorkSum {
     /// Prompt tokens by service class.
     prefill: [f64; 3],
     decode: f64,
     requests: f64,
 }
 
-impl Unreported {
+impl UnreportedWork {
     fn add(&mut self, work: &InFlightWork) {
         self.own.add(work, 1.0);
         self.cache_independent.add(work, 1.0 - work.cached_fraction);
@@ -115,35 +117,35 @@
     }
 }
 
-impl UnreportedSum {
-    fn add(&mut self, work: &InFlightWork, part: f64) {
-        self.prefill[work.class.index()] += part * work.prefill_tokens;
-        self.decode += part * work.decode_tokens;
-        self.requests += part;
+impl UnreportedWorkSum {
+    fn add(&mut self, work: &InFlightWork, fraction: f64) {
+        self.prefill[work.class.index()] += fraction * work.prefill_tokens;
+        self.decode += fraction * work.decode_tokens;
+        self.requests += fraction;
     }
 
-    fn remove(&mut self, work: &InFlightWork, part: f64) {
-        self.decode = (self.decode - part * work.decode_tokens).max(0.0);
-        self.requests = (self.requests - part).max(0.0);
+    fn remove(&mut self, work: &InFlightWork, fraction: f64) {
+        self.decode = (self.decode - fraction * work.decode_tokens).max(0.0);
+        self.requests = (self.requests - fraction).max(0.0);
     }
 
-    fn remove_prefill(&mut self, work: &InFlightWork, part: f64) {
+    fn remove_prefill(&mut self, work: &InFlightWork, fraction: f64) {
         let prefill = &mut self.prefill[work.class.index()];
-        *prefill = (*prefill - part * work.prefill_tokens).max(0.0);
+        *prefill = (*prefill - fraction * work.prefill_tokens).max(0.0);
     }
 }
 
 impl EngineView {
-    /// A view that starts with the given record.
+    /// Creates a view from the first record of an engine.
     pub fn new(record: EngineRecord, observed_at: MonotonicTime) -> Self {
         Self {
             record,
             observed_at,
             cache: CacheEstimate::default(),
             health: Health::default(),
-            mean_sequences: DEFAULT_SEQUENCES,
+            mean_sequences: INITIAL_MEAN_SEQUENCES,
             dispatches: BTreeMap::new(),
-            unreported: Unreported::default(),
+            unreported: UnreportedWork::default(),
         }
     }
 
@@ -154,14 +156,14 @@
         self.observed_at = observed_at;
         let after = self.incarnation();
         if after > before {
-            self.cache.restart_at(after);
+            self.cache.clear_if_newer(after);
             self.health.on_restart();
             self.dispatches.clear();
         }
         self.recount_unreported(observed_at - lag);
         let sequences = f64::from(self.load().active_sequences);
         if sequences > 0.0 {
-            self.mean_sequences += (sequences - self.mean_sequences) * SEQUENCES_WEIGHT;
+            self.mean_sequences += (sequences - self.mean_sequences) * SEQUENCES_OBSERVATION_WEIGHT;
         }
     }
 
@@ -256,7 +258,7 @@
 
     /// Current queues as seen by a request of a class: the last report, minus the work completed since, plus the work sent
     /// since. Other gateways see the same reports and make similar choices, so own unreported work that was not routed for
-    /// a cached prefix is counted `peer_work_factor` times more.
+    /// a cached prefix is counted an additional `peer_work_factor` times.
     pub fn queues(
         &self,
         class: ServiceClass,
@@ -285,16 +287,16 @@
     }
 
     fn add_unreported(&self, class: ServiceClass, peer_work_factor: f64, queues: &mut QueueEstimate) {
-        for (sum, times) in [
+        for (sum, multiplier) in [
             (&self.unreported.own, 1.0),
             (&self.unreported.cache_independent, peer_work_factor),
         ] {
             let ahead: f64 = sum.prefill[..=class.index()].iter().sum();
-            queues.prefill_tokens += times * sum.prefill.iter().sum::<f64>();
-            queues.prefill_tokens_ahead += times * ahead;
-            queues.decode_tokens += times * sum.decode;
-            queues.sequences += times * sum.requests;
-            queues.requests += times * sum.requests;
+            queues.prefill_tokens += multiplier * sum.prefill.iter().sum::<f64>();
+            queues.prefill_tokens_ahead += multiplier * ahead;
+            queues.decode_tokens += multiplier * sum.decode;
+            queues.sequences += multiplier * sum.requests;
+            queues.requests += multiplier * sum.requests;
         }
     }
 
@@ -305,11 +307,11 @@
             return observed;
         };
         let waited = now.since(oldest.sent_at);
-        let limit = oldest
+        let max_wait = oldest
             .expected_first_token
             .saturating_mul(OVERDUE_FACTOR)
             .max(MIN_OVERDUE_WAIT);
-        if waited <= limit || oldest.class == ServiceClass::Batch {
+        if waited <= max_wait || oldest.class == ServiceClass::Batch {
             return observed;
         }
         observed.max(delay_factor(waited, oldest.expected_first_token))
@@ -320,7 +322,7 @@
     }
 
     fn recount_unreported(&mut self, cutoff: MonotonicTime) {
-        self.unreported = Unreported::default();
+        self.unreported = UnreportedWork::default();
         for work in self.dispatches.values_mut() {
             work.is_reported = work.is_reported || work.sent_at <= cutoff;
             if !work.is_reported {
--- a/crates/core/src/routing/weights.rs
+++ b/crates/core/src/routing/weights.rs
@@ -26,8 +26,7 @@
     pub batch_waiting: f64,
     /// Cost of a delay for a standard request, relative to an interactive one.
     pub standard_waiting: f64,
-    /// Time in which the weight of a load report halves, in seconds; the remaining weight goes to the mean of engines with the
-    /// same role.
+    /// Half-life of the weight of a load report, in seconds. The mean over engines with the same role gets the rest of the weight.
     pub report_half_life_seconds: f64,
     /// Assumed delay between an engine's load and its report, in addition to the record's age, in seconds.
     pub report_lag_seconds: f64,
@@ -41,8 +40,8 @@
     pub interactive_queue_ahead: f64,
     /// Fraction of a reported prefill queue that is scheduled before a standard request.
     pub standard_queue_ahead: f64,
-    /// Similarity of the choices of gateways that see the same reports, from zero to one. Own work sent since a report is
-    /// counted this many times for each other gateway.
+    /// Assumed work of each other gateway since the last report, as a fraction of this gateway's own. Zero means that gateways
+    /// choose independently, one that they make the same choices from the same reports.
     pub alike_choices: f64,
     /// Cost of a second by which prefill of other requests delays this request's decoding on a mixed engine.
     pub own_stall: f64,
