--- a/crates/core/src/placing/placement_table.rs
+++ b/crates/core/src/placing/placement_table.rs
@@ -312,7 +312,7 @@
         let Some(source) = router.bring_into_use(source) else {
             return Placement::Nowhere;
         };
-        let Some(engine) = router.choose_output_or_grow(&self.pool_query(key, &excluded), &source, now)
+        let Some(engine) = router.choose_decode_or_grow(&self.pool_query(key, &excluded), &source, now)
         else {
             return Placement::Nowhere;
         };
--- a/crates/core/src/routing/pool/choice.rs
+++ b/crates/core/src/routing/pool/choice.rs
@@ -50,11 +50,11 @@
     pub requests: u32,
     /// Tokens of the prompt whose KV cache the engine holds.
     pub held_tokens: u32,
-    /// Age of the oldest word of another node that counts.
+    /// Age of the oldest peer report that is part of the estimate; zero if there is none.
     pub oldest_report_age: Duration,
     /// Current execution time in percent of the pool's usual time.
     pub work_factor_percent: u16,
-    /// Age of the momentary figure in that; absent where none counts.
+    /// Age of the momentary pace in `work_factor_percent`; absent if none applies.
     pub reported_pace_age: Option<Duration>,
 }
 
@@ -85,8 +85,8 @@
             });
         }
         let split = self.choose_split(query, &context);
-        let whole = self.choose_combined(query, &context);
-        match (split, whole) {
+        let combined = self.choose_combined(query, &context);
+        match (split, combined) {
             (Some((split_cost, _, _)), Some((cost, state))) if cost < split_cost => {
                 PoolRoute::Whole(state.engine.clone())
             }
@@ -100,7 +100,7 @@
     }
 
     /// Selects the engine that runs decode after `source` has prefilled the prompt; absent when none is available.
-    pub fn choose_output(
+    pub fn choose_decode(
         &self,
         query: &PoolQuery<'_>,
         source: &EngineId,
@@ -124,7 +124,7 @@
             .map_or(PrefillSite::in_zone(query.zone), |state| {
                 self.prefill_site(state, query, now)
             });
-        cheapest(self.output_candidates(query, source.zone, now), |state| {
+        cheapest(self.decode_candidates(query, source.zone, now), |state| {
             context.decode_cost(state, source, query)
         })
         .map(|(_, state)| state.engine.clone())
@@ -223,7 +223,7 @@
             move_seconds: traits.and_then(|traits| traits.move_seconds),
             max_held_tokens: self.best_holder(query, now).map_or(0, |(tokens, _)| tokens),
             min_prefill_wait: None,
-            output_seconds: self.output_seconds(query),
+            decode_seconds: self.decode_seconds(query),
             draw: query.draw,
             now,
         }
@@ -272,7 +272,7 @@
     ) -> Option<(f64, &'a EngineState, &'a EngineState)> {
         let (prompt_cost, prefill) = self.choose_prefill(query, context)?;
         let source = self.prefill_site(prefill, query, context.now);
-        let decode_engines = self.output_candidates(query, source.zone, context.now);
+        let decode_engines = self.decode_candidates(query, source.zone, context.now);
         let (cost, decode) = cheapest(decode_engines, |state| context.decode_cost(state, source, query))?;
         Some((prompt_cost + cost + context.handoff_cost(query), prefill, decode))
     }
--- a/crates/core/src/routing/pool/cost.rs
+++ b/crates/core/src/routing/pool/cost.rs
@@ -68,7 +68,7 @@
     /// gaps are not part of the cost.
     pub min_prefill_wait: Option<f64>,
     /// Decode time at an average engine, in seconds; zero if paces are not in use.
-    pub output_seconds: f64,
+    pub decode_seconds: f64,
     /// Random number of the request.
     pub draw: u64,
     /// Time of the selection.
@@ -225,7 +225,7 @@
 
     /// Cost of the decode time. Without it all idle engines would cost the same, whatever their speed.
     fn decode_time_cost(&self) -> f64 {
-        self.weights.output_time * self.output_seconds
+        self.weights.output_time * self.decode_seconds
     }
 
     /// Seconds until the engine's rate limit admits the request.
--- a/crates/core/src/routing/pool/pace/router.rs
+++ b/crates/core/src/routing/pool/pace/router.rs
@@ -208,7 +208,7 @@
     }
 
     /// Expected decode time of the output at an average engine, in seconds; zero if it is unknown or paces are not used.
-    pub(in crate::routing::pool) fn output_seconds(&self, query: &PoolQuery<'_>) -> f64 {
+    pub(in crate::routing::pool) fn decode_seconds(&self, query: &PoolQuery<'_>) -> f64 {
         if self.weights.engine_pace == EnginePaceUse::Off {
             return 0.0;
         }
--- a/crates/core/src/routing/pool/reachability.rs
+++ b/crates/core/src/routing/pool/reachability.rs
@@ -14,7 +14,7 @@
     }
 
     /// Candidates for decode that can receive the KV cache of a prompt prefilled in the `source` zone.
-    pub(super) fn output_candidates<'a>(
+    pub(super) fn decode_candidates<'a>(
         &'a self,
         query: &'a PoolQuery<'_>,
         source: &'a ZoneId,
--- a/crates/core/src/routing/pool/working_set/growth.rs
+++ b/crates/core/src/routing/pool/working_set/growth.rs
@@ -39,16 +39,16 @@
         self.decide_with_growth(query.pool, now, is_acceptable, |router| router.choose(query, now))
     }
 
-    /// Like [`Self::choose_output`], but brings engines of the reserve into use if no engine in use can take the request.
+    /// Like [`Self::choose_decode`], but brings engines of the reserve into use if no engine in use can take the request.
     /// Absent if none of the reserve can either.
-    pub fn choose_output_or_grow(
+    pub fn choose_decode_or_grow(
         &mut self,
         query: &PoolQuery<'_>,
         source: &EngineId,
         now: MonotonicTime,
     ) -> Option<PoolEngine> {
         self.decide_with_growth(query.pool, now, Option::is_some, |router| {
-            router.choose_output(query, source, now)
+            router.choose_decode(query, source, now)
         })
     }
 
--- a/crates/core/tests/pace_world/mod.rs
+++ b/crates/core/tests/pace_world/mod.rs
@@ -277,7 +277,7 @@
         router.on_reported_load(ticket.engine(), reported_load, now);
         router.on_prompt_prefilled(ticket, &request.prefixes, now);
         let query = request.query(&pool, &zone);
-        let chosen = router.choose_output(&query, ticket.engine(), now);
+        let chosen = router.choose_decode(&query, ticket.engine(), now);
         let decode = chosen.map_or_else(|| decode.clone(), |engine| engine.id);
         let ticket = router.on_output_sent(&decode, &query, KvCacheSource::Transfer, now);
         *self.outputs.entry(decode.clone()).or_default() += 1;
--- a/crates/core/tests/paths.rs
+++ b/crates/core/tests/paths.rs
@@ -431,7 +431,7 @@
             );
         }
         let source = EngineId::new("p-a");
-        let chosen = |router: &PoolRouter, now| router.choose_output(&request.query(), &source, now).unwrap();
+        let chosen = |router: &PoolRouter, now| router.choose_decode(&request.query(), &source, now).unwrap();
         assert_eq!(
             chosen(&router, NOW).zone,
             zone("zone-b"),
@@ -452,7 +452,7 @@
         }
         assert!(
             router
-                .choose_output(&request.query(), &EngineId::new("d-1"), after(260))
+                .choose_decode(&request.query(), &EngineId::new("d-1"), after(260))
                 .is_some()
         );
     }
--- a/crates/core/tests/pauses_world/mod.rs
+++ b/crates/core/tests/pauses_world/mod.rs
@@ -310,7 +310,7 @@
         };
         let engine = self.with_query(request, |router, query, now| {
             router.on_prompt_prefilled(&ticket, query.prefixes, now);
-            router.choose_output(query, &source, now)
+            router.choose_decode(query, &source, now)
         });
         let engine = engine.unwrap().id;
         let ticket = self.with_query(request, |router, query, now| {
--- a/crates/node/src/course/placing.rs
+++ b/crates/node/src/course/placing.rs
@@ -57,7 +57,7 @@
         }
         let now = self.context.now();
         let query = self.query(excluded, now);
-        let engine = lock(&self.context.router).choose_output_or_grow(&query, source, now);
+        let engine = lock(&self.context.router).choose_decode_or_grow(&query, source, now);
         self.placed(engine.map(|engine| Placement::Whole(routing::target(&engine))));
     }
 
