--- a/crates/core/src/routing/pool/beliefs.rs
+++ b/crates/core/src/routing/pool/beliefs.rs
@@ -25,7 +25,7 @@
     /// KV cache tokens that the requests hold or will hold.
     pub memory_tokens: u32,
     /// KV cache tokens in transfer to the engine.
-    pub moving_tokens: u32,
+    pub transfer_tokens: u32,
     /// Number of requests whose prefill is complete.
     pub outputs: u32,
     /// KV cache tokens of the requests whose prefill is complete.
--- a/crates/core/src/routing/pool/pool_speeds.rs
+++ b/crates/core/src/routing/pool/pool_speeds.rs
@@ -35,8 +35,8 @@
     pub decode: PrefillSpeed,
     /// Prefill of requests of the lowest rank, which run after all that can still be in time.
     pub late: PrefillSpeed,
-    /// Mean time in seconds from a decode dispatch after a prefill at another engine to its first event, if the engine was
-    /// not full.
+    /// Mean time in seconds from a decode dispatch after a prefill at another engine to its first event, if the
+    /// engine was not full.
     pub handoff_seconds: f64,
     /// Mean additional time in seconds if the engine was full.
     pub queue_wait_seconds: f64,
@@ -45,7 +45,7 @@
     /// Gaps between output events at engines with concurrent prefill.
     pub pauses: PrefillPauses,
     /// Time between two events of an output at an engine of average speed without concurrent prefill.
-    pub pace: EventInterval,
+    pub event_interval: EventInterval,
     /// Share of requests that could not meet their deadline.
     pub rejection_rate: RejectionRate,
 }
@@ -62,7 +62,7 @@
             queue_wait_seconds: INITIAL_QUEUE_WAIT_SECONDS,
             estimate_error: EstimateError::default(),
             pauses: PrefillPauses::default(),
-            pace: EventInterval::default(),
+            event_interval: EventInterval::default(),
             rejection_rate: RejectionRate::default(),
         }
     }
--- a/crates/core/tests/engine_troubles.rs
+++ b/crates/core/tests/engine_troubles.rs
@@ -98,7 +98,7 @@
     let request = TestRequest::new(false);
     let ticket = router.on_output_sent(&EngineId::new(id), &request.query(0), KvCacheSource::Prefill, now);
     router.on_output_started(&ticket, &request.prefixes, now);
-    router.on_answered(&ticket);
+    router.on_completed(&ticket);
 }
 
 mod unresponsive {
@@ -229,7 +229,7 @@
         }
         let id = EngineId::new("d1");
         let ticket = router.on_output_sent(&id, &request.query(0), KvCacheSource::Prefill, NOW);
-        router.on_broken(&ticket, NOW);
+        router.on_connection_failed(&ticket, NOW);
         answer(&mut router, "d1", millis_later(600));
         router
     }
--- a/crates/core/tests/pool_router.rs
+++ b/crates/core/tests/pool_router.rs
@@ -141,7 +141,7 @@
         prompt_tokens: [0, 200_000, 0, 0],
         requests: 10,
         memory_tokens: 0,
-        moving_tokens: 0,
+        transfer_tokens: 0,
         outputs: 0,
         output_tokens: 0,
         streams: 0,
@@ -180,7 +180,7 @@
         prompt_tokens: [0, 0, 0, 500_000],
         requests: 10,
         memory_tokens: 0,
-        moving_tokens: 0,
+        transfer_tokens: 0,
         outputs: 0,
         output_tokens: 0,
         streams: 0,
@@ -256,7 +256,7 @@
         KvCacheSource::Transfer,
         NOW,
     );
-    router.on_broken(&ticket, NOW);
+    router.on_connection_failed(&ticket, NOW);
     assert_eq!(split(router.choose(&request.query(), NOW)).1, "d2");
     let ticket = router.on_output_sent(
         &EngineId::new("d2"),
@@ -331,7 +331,7 @@
         prompt_tokens: [100, 0, 0, 0],
         requests: 2,
         memory_tokens: 50,
-        moving_tokens: 10,
+        transfer_tokens: 10,
         outputs: 0,
         output_tokens: 0,
         streams: 0,
