--- a/crates/core/src/placing/placement_table.rs
+++ b/crates/core/src/placing/placement_table.rs
@@ -424,7 +424,7 @@
                 router.on_refused(&ticket, *reason, now);
             }
             DispatchProgress::ConnectionFailed => router.on_connection_failed(&ticket, now),
-            DispatchProgress::Unresponsive => router.on_silence(&ticket, now),
+            DispatchProgress::Unresponsive => router.on_unanswered_request(&ticket, now),
             DispatchProgress::Abandoned => {
                 self.refund_charge(router, now);
                 router.on_abandoned(&ticket);
--- a/crates/core/src/routing/pool/admission.rs
+++ b/crates/core/src/routing/pool/admission.rs
@@ -44,8 +44,8 @@
     /// Fraction of the remaining time within which the first event of a late request must be expected, 0 to 1.
     pub late_share: f64,
     /// Share of late or refused requests at which admission is strictest, above 0 and at most 1. From this share on,
-    /// only requests that are likely to meet their target are admitted; below it, only likely late requests are
-    /// rejected.
+    /// only requests that are likely to meet their target are admitted; below it, only requests that will almost
+    /// certainly be late are rejected.
     pub full_care_share: f64,
     /// Minimum `retry_after` of a refusal, in milliseconds.
     pub least_return_millis: u64,
@@ -139,8 +139,8 @@
     pub late_or_refused_share: f64,
     /// Whether the estimate exceeds the target without the penalty for the usage of the tenant and kind.
     pub misses_target: bool,
-    /// Queueing time as a fraction of the longest with which the target would be met; absent if even an empty queue
-    /// would miss it.
+    /// Estimated queueing time as a fraction of the maximum that still meets the target; absent if the target would be
+    /// missed even with an empty queue.
     pub queue_share: Option<f64>,
     /// Prompt tokens to prefill plus expected output tokens.
     pub tokens: f64,
--- a/crates/core/src/routing/pool/beliefs.rs
+++ b/crates/core/src/routing/pool/beliefs.rs
@@ -102,7 +102,7 @@
 
 /// Report of a placer that an engine did not answer a node in time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SilenceReport {
+pub struct UnansweredRequestReport {
     /// Handle of the engine.
     pub engine: SubjectHandle,
     /// Zone of the node that sent the request.
--- a/crates/core/src/routing/pool/cordons.rs
+++ b/crates/core/src/routing/pool/cordons.rs
@@ -21,9 +21,9 @@
 /// Combined effect of all cordons that cover one engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct EngineCordon {
-    /// Latest expiry of any cordon.
+    /// Time at which the last cordon expires.
     pub(super) until: MonotonicTime,
-    /// Latest expiry of a forced cordon.
+    /// Time at which the last forced cordon expires.
     pub(super) forced_until: MonotonicTime,
 }
 
--- a/crates/core/src/routing/pool/dispatches.rs
+++ b/crates/core/src/routing/pool/dispatches.rs
@@ -262,7 +262,7 @@
         if work.kv_source.is_none() || work.had_free_slot {
             if state.pace.is_enabled {
                 let momentary = (work.momentary_pace + state.pace.momentary_factor(now)) / 2.0;
-                let factor = momentary * state.pace.lasting.factor();
+                let factor = momentary * state.pace.long_term.factor();
                 let fixed = speed.fixed_seconds();
                 speed.observe(work.tokens_until_prefilled * factor, took);
                 let kind = if work.kv_source.is_none() {
--- a/crates/core/src/routing/pool/ended_starts.rs
+++ b/crates/core/src/routing/pool/ended_starts.rs
@@ -1,11 +1,11 @@
-//! Latest starts of engines that are no longer listed.
+//! The last known start of each engine that is no longer listed.
 
 use crate::identity::{EngineId, EngineStart};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Maximum number of remembered engine names. Outdated updates arrive within seconds, and a fleet lists a few hundred
 /// names.
-const MAX_NAMES: usize = 1_024;
+const MAX_ENGINE_NAMES: usize = 1_024;
 
 /// Remembers the latest start of each engine name that is no longer listed, so that a delayed update about an earlier
 /// start is recognized as outdated. Contains only starts that the platform reported.
@@ -27,21 +27,21 @@
         if self.starts.insert(name.to_owned(), latest).is_none() {
             self.order.push_back(name.to_owned());
         }
-        if self.order.len() > MAX_NAMES
+        if self.order.len() > MAX_ENGINE_NAMES
             && let Some(oldest) = self.order.pop_front()
         {
             self.starts.remove(&oldest);
         }
     }
 
-    /// Removes a name of which a start is listed again.
+    /// Removes a name that is listed again.
     pub(super) fn forget(&mut self, name: &str) {
         if self.starts.remove(name).is_some() {
             self.order.retain(|other| other != name);
         }
     }
 
-    /// The latest recorded start of a name; zero if there is none.
+    /// The recorded start of the engine with this name; zero if none is recorded.
     pub(super) fn latest(&self, name: &str) -> EngineStart {
         self.starts.get(name).copied().unwrap_or_default()
     }
--- a/crates/core/src/routing/pool/engine.rs
+++ b/crates/core/src/routing/pool/engine.rs
@@ -248,7 +248,7 @@
     pub(super) slowness: f64,
     /// Recent peak of the prompt tokens waiting for prefill.
     pub(super) recent_prefill: RecentPrefill,
-    /// Estimates of the engine's lasting and momentary pace.
+    /// Estimates of the engine's long-term and momentary pace.
     pub(super) pace: EnginePace,
 }
 
@@ -302,8 +302,8 @@
         sum
     }
 
-    /// Estimated load from requests of all nodes: own load plus unexpired reports of peers. The number of requests is at
-    /// least that in the engine's own unexpired report.
+    /// Estimated load from requests of all nodes: own load plus unexpired reports of peers. The number of requests is
+    /// at least that in the engine's own unexpired report.
     pub fn load(&self, now: MonotonicTime) -> EngineLoad {
         let mut sum = self.own_load();
         for (report, at) in self.peers.values() {
@@ -341,7 +341,7 @@
         }
     }
 
-    /// Estimates of the engine's lasting and momentary pace.
+    /// Estimates of the engine's long-term and momentary pace.
     pub fn pace(&self) -> &EnginePace {
         &self.pace
     }
--- a/crates/core/src/routing/pool/limits.rs
+++ b/crates/core/src/routing/pool/limits.rs
@@ -9,13 +9,13 @@
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// Time for which a node keeps notifying its peers of a limit after an answer to the node reported that limit.
+/// Time for which a node keeps notifying its peers of a limit after it received an answer with that limit.
 const OWN_LIMIT_NOTICE_DURATION: Duration = Duration::from_secs(2);
 
 /// Time constant of the exponential decay of the request rate.
-const RATE_TIME_CONSTANT: Duration = Duration::from_secs(5);
+const REQUEST_RATE_TIME_CONSTANT: Duration = Duration::from_secs(5);
 
-/// Exponentially decaying count of requests sent to the engines of one pool and stage.
+/// Exponentially decaying number of requests sent to the engines of one pool and stage.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SentRate {
     requests: f64,
@@ -29,11 +29,11 @@
     }
 
     fn requests_now(&self, now: MonotonicTime) -> f64 {
-        self.requests * (-now.since(self.at).as_secs_f64() / RATE_TIME_CONSTANT.as_secs_f64()).exp()
+        self.requests * (-now.since(self.at).as_secs_f64() / REQUEST_RATE_TIME_CONSTANT.as_secs_f64()).exp()
     }
 
     fn per_second(&self, now: MonotonicTime) -> f64 {
-        self.requests_now(now) / RATE_TIME_CONSTANT.as_secs_f64()
+        self.requests_now(now) / REQUEST_RATE_TIME_CONSTANT.as_secs_f64()
     }
 }
 
@@ -43,7 +43,7 @@
         self.limit.limit()
     }
 
-    /// Minimum time until the rate limit allows another request.
+    /// Time until the rate limit allows another request.
     pub fn slot_wait(&self, now: MonotonicTime) -> Duration {
         self.limit.slot_wait(now)
     }
@@ -105,8 +105,8 @@
             .filter(|state| state.is_listed() && state.rate_limit().is_some())
     }
 
-    /// Limit notices for other nodes: of all listed engines, or if `observed_here`, only of limits that a recent answer
-    /// to this node reported.
+    /// Limit notices for other nodes: for all listed engines; if `observed_here`, only for limits that this node
+    /// recently received in an answer.
     pub fn limit_notices(&self, observed_here: bool, now: MonotonicTime) -> Vec<LimitNotice> {
         let selected = self
             .engines
@@ -118,14 +118,14 @@
         selected.filter_map(|state| state.limit_notice(now)).collect()
     }
 
-    /// Adds a request to the rate of its pool and stage.
+    /// Counts a sent request in the request rate of its pool and stage.
     pub(super) fn record_sent_request(&mut self, pool: &PoolId, stage: EngineStage, now: MonotonicTime) {
         let key = (pool.clone(), stage);
         self.sent_rates.entry(key).or_default().on_sent(now);
     }
 
-    /// Fraction of the expected request rate of an engine that its limit allows, at most one. The expected rate is the
-    /// rate of all nodes to its pool and stage, divided evenly among the active engines.
+    /// Ratio of an engine's rate limit to its expected request rate, at most one. The expected rate is the request rate
+    /// of all nodes to the pool and stage of the engine, divided by the number of active engines there.
     pub(super) fn share_within_limit(&self, state: &EngineState, now: MonotonicTime) -> f64 {
         let Some(limit) = state.rate_limit() else {
             return 1.0;
--- a/crates/core/src/routing/pool/list_changes.rs
+++ b/crates/core/src/routing/pool/list_changes.rs
@@ -1,15 +1,15 @@
 //! Versions at which the entries of the platform's list of engines last changed.
 //!
-//! A node that knows only the engines in use may receive a snapshot from a peer that is older than its own list. An engine
-//! in that snapshot that is unknown here was either put back into the reserve or removed since; the version of the entry's
-//! last change tells which.
+//! A node that knows only the engines in use may receive a snapshot from a peer that is older than its own list. An
+//! engine in that snapshot that is unknown here was either put back into the reserve or removed since; the version of
+//! the entry's last change tells which.
 
 use crate::membership::subject::SubjectHandle;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// Maximum number of entries whose last change is kept; the latest are kept. An entry takes about 60 bytes.
-const MAX_ENTRIES: usize = 4_096;
+const MAX_CHANGED_ENTRIES: usize = 4_096;
 
 /// The last changes of entries after some version of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -41,9 +41,10 @@
         version >= self.since && self.last.get(&digest(name)).is_none_or(|last| *last <= version)
     }
 
-    /// Merges the history of a peer, which reaches a later version than this one; this one is complete up to `reflected`.
-    pub fn extend(&mut self, later: &Self, reflected: u64) {
-        if later.since > reflected {
+    /// Merges the history of a peer, which reaches a later version than this one; this one is complete up to
+    /// `covered_version`.
+    pub fn extend(&mut self, later: &Self, covered_version: u64) {
+        if later.since > covered_version {
             // Changes between the two histories are unknown to both nodes.
             *self = later.clone();
             return;
@@ -64,8 +65,8 @@
 
     /// Evicts a quarter of the entries once the limit is exceeded, since each eviction scans all entries.
     fn enforce_max_entries(&mut self) {
-        if self.last.len() > MAX_ENTRIES {
-            self.evict_earliest(MAX_ENTRIES * 3 / 4);
+        if self.last.len() > MAX_CHANGED_ENTRIES {
+            self.evict_earliest(MAX_CHANGED_ENTRIES * 3 / 4);
         }
     }
 
--- a/crates/core/src/routing/pool/listing.rs
+++ b/crates/core/src/routing/pool/listing.rs
@@ -3,9 +3,9 @@
 //! A node receives changes of the list from the store and, while the store does not answer, from its peers. All changes
 //! carry the store's version, so an older message of one source never overrides a newer one of another.
 //!
-//! An engine that restarts may keep its name. The list holds only the latest start of each name. Messages about an earlier
-//! start are ignored whatever their version, because the store may carry out an engine's write seconds after that engine
-//! has ended.
+//! An engine that restarts may keep its name. The list holds only the latest start of each name. Messages about an
+//! earlier start are ignored whatever their version, because the store may carry out an engine's write seconds after
+//! that engine has ended.
 
 use super::ended_starts::EndedStarts;
 use super::engine::PoolEngine;
@@ -55,20 +55,20 @@
     unreadable: BTreeSet<String>,
     ended_starts: EndedStarts,
     /// All changes up to this version have been applied.
-    reflected_version: u64,
+    applied_version: u64,
     /// Version of the last change that had an effect.
     last_change_version: u64,
-    /// Versions of the last changes of entries, including entries of engines that are not known here.
+    /// Version of the last change of each recently changed entry, including entries of engines that are not known here.
     known_changes: KnownChanges,
     /// Whether the list holds only the engines that a peer had in use.
     partial: bool,
 }
 
 impl EngineListing {
-    /// Applies versioned changes that together cover everything up to `reflected`. Returns those that had an effect, in
-    /// the order of their versions.
-    pub fn apply(&mut self, mut changes: Vec<(u64, ListChange)>, reflected: u64) -> Vec<ListChange> {
-        let before = self.reflected_version;
+    /// Applies versioned changes that include every change up to `covered_version`. Returns those that had an effect,
+    /// in the order of their versions.
+    pub fn apply(&mut self, mut changes: Vec<(u64, ListChange)>, covered_version: u64) -> Vec<ListChange> {
+        let before = self.applied_version;
         changes.sort_by_key(|(version, _)| *version);
         let mut applied = Vec::new();
         for (version, change) in changes {
@@ -85,16 +85,16 @@
             }
             applied.extend(new);
         }
-        self.reflected_version = self.reflected_version.max(reflected);
+        self.applied_version = self.applied_version.max(covered_version);
         applied
     }
 
     /// Replaces the list by a complete snapshot unless the snapshot is older. Returns the resulting changes.
     pub fn replace(&mut self, snapshot: &ListSnapshot) -> Vec<ListChange> {
-        if snapshot.version < self.reflected_version {
+        if snapshot.version < self.applied_version {
             return Vec::new();
         }
-        let was_complete = self.reflected_version > 0 && !self.partial;
+        let was_complete = self.applied_version > 0 && !self.partial;
         let applied: Vec<ListChange> = self
             .changes_towards(snapshot)
             .into_iter()
@@ -109,7 +109,7 @@
         } else {
             self.known_changes = KnownChanges::complete_since(snapshot.version);
         }
-        self.reflected_version = snapshot.version;
+        self.applied_version = snapshot.version;
         self.partial = false;
         applied
     }
@@ -117,23 +117,23 @@
     /// Applies a snapshot of the engines that a peer has in use, which makes the list partial.
     ///
     /// Ignored if the complete list is known here and is at least as new. A complete list that is older is discarded,
-    /// because a node that relies on such snapshots does not receive the updates that would keep it current. `changes` are
-    /// the peer's known changes up to the snapshot's version. If the snapshot is older than the partial list, only engines
-    /// whose entries are known not to have changed since are taken from it. Returns the resulting changes.
+    /// because a node that relies on such snapshots does not receive the updates that would keep it current. `changes`
+    /// are the peer's known changes up to the snapshot's version. If the snapshot is older than the partial list, only
+    /// engines whose entries are known not to have changed since are taken from it. Returns the resulting changes.
     pub fn apply_in_use_snapshot(
         &mut self,
         snapshot: &ListSnapshot,
         changes: &KnownChanges,
     ) -> Vec<ListChange> {
-        if !self.partial && self.reflected_version >= snapshot.version {
+        if !self.partial && self.applied_version >= snapshot.version {
             return Vec::new();
         }
         self.partial = true;
-        if snapshot.version < self.reflected_version {
+        if snapshot.version < self.applied_version {
             return self.add_unknown_engines(snapshot);
         }
-        self.known_changes.extend(changes, self.reflected_version);
-        self.reflected_version = snapshot.version;
+        self.known_changes.extend(changes, self.applied_version);
+        self.applied_version = snapshot.version;
         let mut applied = self.drop_absent(snapshot);
         let engines = snapshot.engines.iter().cloned();
         applied.extend(engines.flat_map(|engine| self.apply_listed(engine)));
@@ -202,7 +202,7 @@
     /// The whole list, to be sent to a peer.
     pub fn snapshot(&self) -> ListSnapshot {
         ListSnapshot {
-            version: self.reflected_version,
+            version: self.applied_version,
             engines: self.engines.values().cloned().collect(),
             unreadable: self.unreadable.iter().cloned().collect(),
         }
@@ -216,7 +216,7 @@
             .iter()
             .filter_map(|engine| self.engines.get(engine.id.as_str()));
         ListSnapshot {
-            version: self.reflected_version,
+            version: self.applied_version,
             engines: listed.cloned().collect(),
             unreadable: Vec::new(),
         }
@@ -228,11 +228,11 @@
     }
 
     /// Version up to which all changes have been applied; zero at the start.
-    pub fn reflected_version(&self) -> u64 {
-        self.reflected_version
+    pub fn applied_version(&self) -> u64 {
+        self.applied_version
     }
 
-    /// Version of the last change that had an effect. A node whose reflected version is lower lacks changes.
+    /// Version of the last change that had an effect. A node whose applied version is lower lacks changes.
     pub fn last_change_version(&self) -> u64 {
         self.last_change_version
     }
--- a/crates/core/src/routing/pool/mod.rs
+++ b/crates/core/src/routing/pool/mod.rs
@@ -1,9 +1,9 @@
 //! Selection of engines for forwarded requests.
 //!
-//! Unlike [`super::router::KvRouter`], which compares engines by their load reports, [`PoolRouter`] estimates load from the
-//! requests in flight at this node and from the reports of peers. It assumes that an engine holds the prompt prefixes that
-//! were prefilled there. A shared prefix that no engine is known to hold is assigned by rendezvous hashing, so that nodes
-//! agree without communication.
+//! Unlike [`super::router::KvRouter`], which compares engines by their load reports, [`PoolRouter`] estimates load from
+//! the requests in flight at this node and from the reports of peers. It assumes that an engine holds the prompt
+//! prefixes that were prefilled there. A shared prefix that no engine is known to hold is assigned by rendezvous
+//! hashing, so that nodes agree without communication.
 //!
 //! [`cost`] documents the cost formula.
 
@@ -40,7 +40,9 @@
 mod working_set;
 
 pub use admission::{Admission, AdmissionDecision, LATE_RANK, PoolAdmission, RequestTiming};
-pub use beliefs::{PeerLoad, PeerLoadSlice, PrefixUpdate, RANK_COUNT, SilenceReport, rank_for_priority};
+pub use beliefs::{
+    PeerLoad, PeerLoadSlice, PrefixUpdate, RANK_COUNT, UnansweredRequestReport, rank_for_priority,
+};
 pub use choice::{EngineEstimate, Explanation, PoolRoute};
 pub use concurrent_work::ConcurrentWork;
 pub use cordons::{ActiveCordon, AvoidanceReason};
@@ -51,7 +53,7 @@
 pub use list_changes::KnownChanges;
 pub use listing::{EngineListing, ListChange, ListSnapshot};
 pub use pace::{
-    EnginePace, EnginePaceUse, LastingPace, LastingPaceReport, MomentaryPace, PaceChange, PacePersistence,
+    EnginePace, EnginePaceUse, LongTermPace, LongTermPaceReport, MomentaryPace, PaceChange, PacePersistence,
     PaceReports, PaceSpread, PoolPace, ReportedPace,
 };
 pub use paths::{PathChange, PathState, Paths};
--- a/crates/core/src/routing/pool/pace/mod.rs
+++ b/crates/core/src/routing/pool/pace/mod.rs
@@ -1,12 +1,12 @@
 //! Paces of engines: the factor by which work takes longer at an engine than at an average engine of its pool.
 //!
-//! The lasting pace belongs to the engine ([`lasting`]). The momentary pace belongs to its machine, which the engine shares
-//! with other workloads ([`momentary`]): engines report it in the headers of their responses, and it may change many times
-//! a second. An observed time is divided by the momentary pace before it counts towards the lasting pace, and by both
-//! before it counts towards the speed of the pool ([`pool_pace`]), so that each effect is counted once.
+//! The long-term pace belongs to the engine ([`lasting`]). The momentary pace belongs to its machine, which the engine
+//! shares with other workloads ([`momentary`]): engines report it in the headers of their responses, and it may change
+//! many times a second. An observed time is divided by the momentary pace before it counts towards the long-term pace,
+//! and by both before it counts towards the speed of the pool ([`pool_pace`]), so that each effect is counted once.
 //!
 //! ```text
-//! work factor = lasting * (mean + (reported - mean) * e ^ (-age / persistence))
+//! work factor = long-term * (mean + (reported - mean) * e ^ (-age / persistence))
 //! ```
 //!
 //! `mean` is the mean of the engine's reports. `persistence` is estimated for the pool from how fast the reported paces
@@ -19,12 +19,12 @@
 mod report;
 mod router;
 
-pub use lasting::LastingPace;
+pub use lasting::LongTermPace;
 pub use momentary::MomentaryPace;
 pub use persistence::PacePersistence;
 pub use pool_pace::PoolPace;
 pub(super) use pool_pace::{ObservedWork, PaceObservation};
-pub use report::{LastingPaceReport, PaceReports, ReportedPace};
+pub use report::{LongTermPaceReport, PaceReports, ReportedPace};
 pub use router::{PaceChange, PaceSpread};
 
 use super::engine::ReportedLoad;
@@ -48,11 +48,11 @@
 }
 
 /// Minimum and maximum of a plausible reported pace, in percent of the usual work time; others are ignored.
-const PLAUSIBLE_PERCENT: (u32, u32) = (10, 5_000);
+const PLAUSIBLE_PACE_PERCENT_BOUNDS: (u32, u32) = (10, 5_000);
 
 /// The momentary pace in a load report of an engine, as a factor; absent if it is missing or implausible.
 pub(super) fn reported_pace(load: &ReportedLoad) -> Option<f64> {
-    let (min, max) = PLAUSIBLE_PERCENT;
+    let (min, max) = PLAUSIBLE_PACE_PERCENT_BOUNDS;
     let percent = load.work_time_percent?;
     (min..=max).contains(&percent).then(|| f64::from(percent) / 100.0)
 }
@@ -63,12 +63,12 @@
     /// Whether routing takes the pace into account.
     pub(super) is_enabled: bool,
     /// Pace of the engine relative to its pool, independent of its machine's current load.
-    pub lasting: LastingPace,
+    pub long_term: LongTermPace,
     /// Pace of the machine at this moment.
     pub momentary: MomentaryPace,
     /// Statistics of the pool's reported paces.
     pub(super) traits: PaceTraits,
-    /// Lasting pace that was last logged as a change.
+    /// Long-term pace that was last logged as a change.
     pub(super) last_logged: Option<f64>,
 }
 
@@ -80,7 +80,7 @@
 
     /// Factor by which work takes longer now than on average in the pool.
     pub fn factor(&self, now: MonotonicTime) -> f64 {
-        self.lasting.factor() * self.momentary.factor(&self.traits, now)
+        self.long_term.factor() * self.momentary.factor(&self.traits, now)
     }
 
     /// Factor by which the state of the machine slows work down now.
@@ -90,10 +90,10 @@
 
     /// Factor by which work takes longer on average, independent of the current state of the machine.
     pub fn average_factor(&self) -> f64 {
-        self.lasting.factor() * self.momentary.mean(&self.traits)
+        self.long_term.factor() * self.momentary.mean(&self.traits)
     }
 
-    /// Age of the latest momentary pace; absent if there is none or it is too old to count.
+    /// Age of the latest momentary pace; absent if there is none or it is too old to affect the estimate.
     pub fn momentary_age(&self, now: MonotonicTime) -> Option<Duration> {
         self.momentary.age(&self.traits, now)
     }
--- a/crates/core/src/routing/pool/pace/momentary.rs
+++ b/crates/core/src/routing/pool/pace/momentary.rs
@@ -3,20 +3,21 @@
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// Maximum age of a reported pace, in multiples of the persistence; by then less than 2 % of its deviation is left.
-const MAX_AGE_PERSISTENCES: f64 = 4.0;
+/// Maximum age of a reported pace, as a multiple of the persistence. At this age, less than 2 % of the deviation from
+/// the mean remains.
+const MAX_AGE_TO_PERSISTENCE_RATIO: f64 = 4.0;
 
 /// Factor by which the weight of earlier paces in an engine's mean decays with each new one.
-const MEAN_DECAY: f64 = 0.97;
+const MEAN_WEIGHT_DECAY: f64 = 0.97;
 
 /// Weight of the pool's mean pace as the prior of an engine's mean.
 const POOL_PRIOR_WEIGHT: f64 = 8.0;
 
 /// Smoothing factor of the pace of an engine that reports none; single observations are noisy.
-const OBSERVED_SMOOTHING: f64 = 0.4;
+const OBSERVED_PACE_SMOOTHING: f64 = 0.4;
 
 /// Minimum and maximum of an observed pace of an engine that reports none.
-const OBSERVED_BOUNDS: (f64, f64) = (0.5, 10.0);
+const OBSERVED_PACE_BOUNDS: (f64, f64) = (0.5, 10.0);
 
 /// Statistics of the reported paces of a pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -73,17 +74,17 @@
             return mean;
         };
         let age = now.since(at).as_secs_f64() / traits.persistence_seconds;
-        if age >= MAX_AGE_PERSISTENCES {
+        if age >= MAX_AGE_TO_PERSISTENCE_RATIO {
             return mean;
         }
         mean + (pace - mean) * (-age).exp()
     }
 
-    /// Age of the latest pace; absent if there is none or it is too old to count.
+    /// Age of the latest pace; absent if there is none or it is too old to affect the estimate.
     pub fn age(&self, traits: &PaceTraits, now: MonotonicTime) -> Option<Duration> {
         let (_, at) = self.latest?;
         let age = now.since(at);
-        (age.as_secs_f64() < MAX_AGE_PERSISTENCES * traits.persistence_seconds).then_some(age)
+        (age.as_secs_f64() < MAX_AGE_TO_PERSISTENCE_RATIO * traits.persistence_seconds).then_some(age)
     }
 
     /// The latest pace and the time of its report.
@@ -92,29 +93,29 @@
     }
 
     /// Records a pace that the engine reported to this node.
-    pub fn record_reported(&mut self, pace: f64, now: MonotonicTime) {
+    pub fn record_reported_pace(&mut self, pace: f64, now: MonotonicTime) {
         self.has_reported = true;
-        self.mean.add(MEAN_DECAY, pace);
+        self.mean.add(MEAN_WEIGHT_DECAY, pace);
         self.record_latest(pace, now);
     }
 
-    /// Records the latest pace without adding it to the mean. Used for reports from peers, which forward only paces that
-    /// differ from the estimate.
+    /// Records the latest pace without adding it to the mean. Used for reports from peers, which forward only paces
+    /// that differ from the estimate.
     pub fn record_latest(&mut self, pace: f64, at: MonotonicTime) {
         if self.latest.is_none_or(|(_, known)| known <= at) {
             self.latest = Some((pace, at));
         }
     }
 
-    /// Records an observation of an engine that reports no pace: the ratio of the measured time to the time expected from
-    /// the engine's lasting pace.
-    pub fn record_observed(&mut self, ratio: f64, traits: &PaceTraits, now: MonotonicTime) {
+    /// Updates the pace of an engine that reports none from an observation: the ratio of the measured time to the time
+    /// expected from the engine's long-term pace.
+    pub fn record_observed_ratio(&mut self, ratio: f64, traits: &PaceTraits, now: MonotonicTime) {
         if self.has_reported || !ratio.is_finite() {
             return;
         }
-        let (min, max) = OBSERVED_BOUNDS;
+        let (min, max) = OBSERVED_PACE_BOUNDS;
         let before = self.factor(traits, now);
-        let pace = before + OBSERVED_SMOOTHING * (ratio.clamp(min, max) - before);
+        let pace = before + OBSERVED_PACE_SMOOTHING * (ratio.clamp(min, max) - before);
         self.latest = Some((pace, now));
     }
 }
--- a/crates/core/src/routing/pool/pace/pool_pace.rs
+++ b/crates/core/src/routing/pool/pace/pool_pace.rs
@@ -5,28 +5,28 @@
 use std::time::Duration;
 
 /// Factor by which the weight of earlier paces in the pool's mean decays with each new one.
-const MEAN_DECAY: f64 = 0.995;
+const MEAN_WEIGHT_DECAY: f64 = 0.995;
 
 /// Weight of the prior that the mean pace is one.
-const PRIOR_WEIGHT: f64 = 10.0;
+const MEAN_PACE_PRIOR_WEIGHT: f64 = 10.0;
 
-/// Maximum of one pace in the pool's mean, as a multiple of that mean; limits the effect of outliers.
-const MAX_MULTIPLE_OF_MEAN: f64 = 4.0;
+/// Maximum ratio of a reported pace to the pool's mean; larger paces are clamped, which limits the effect of outliers.
+const MAX_PACE_TO_MEAN_RATIO: f64 = 4.0;
 
-/// Minimum change of the statistics, as a factor, at which the new ones are applied to the engines of the pool.
-const MIN_APPLIED_CHANGE: f64 = 1.02;
+/// Minimum factor by which the statistics must change to be applied to the engines of the pool.
+const MIN_APPLIED_CHANGE_FACTOR: f64 = 1.02;
 
 /// Smoothing factor of the time per output token.
 const TOKEN_TIME_SMOOTHING: f64 = 0.05;
 
 /// Minimum number of observed outputs before the time per token is used.
-const MIN_OUTPUTS: u32 = 20;
+const MIN_OBSERVED_OUTPUTS: u32 = 20;
 
 /// Maximum factor by which one observation may deviate from the current estimate; larger deviations are clamped.
-const MAX_DEVIATION: f64 = 2.5;
+const MAX_OBSERVATION_DEVIATION: f64 = 2.5;
 
 /// Factor by which the weight of earlier observations in the baseline of their kind decays with each new one.
-const BASELINE_DECAY: f64 = 0.98;
+const BASELINE_WEIGHT_DECAY: f64 = 0.98;
 
 /// Weight of the prior that observed times match the expected ones.
 const BASELINE_PRIOR_WEIGHT: f64 = 3.0;
@@ -65,7 +65,7 @@
     traits: PaceTraits,
     token_seconds: f64,
     outputs: u32,
-    /// Baselines by [`ObservedWork`]: means of the logarithm of observed time / (expected time * lasting pace).
+    /// Baselines by [`ObservedWork`]: means of the logarithm of observed time / (expected time * long-term pace).
     baselines: [DecayingMean; 3],
 }
 
@@ -100,25 +100,26 @@
 
     /// Time per output token at an average engine, in seconds; absent until enough outputs were observed.
     pub fn token_seconds(&self) -> Option<f64> {
-        (self.outputs >= MIN_OUTPUTS).then_some(self.token_seconds)
+        (self.outputs >= MIN_OBSERVED_OUTPUTS).then_some(self.token_seconds)
     }
 
-    /// Adds a pace that an engine reported to this node. `before` is the engine's previous pace with the time since then,
-    /// `mean` the engine's mean pace. Returns whether the statistics changed enough to be applied to the engines.
+    /// Adds a pace that an engine reported to this node. `before` is the engine's previous pace with the time since
+    /// then, `mean` the engine's mean pace. Returns whether the statistics changed enough to be applied to the engines.
     pub(super) fn observe(&mut self, pace: f64, before: Option<(f64, Duration)>, mean: f64) -> bool {
         self.has_reports = true;
-        let current_mean = self.mean.with_prior(1.0, PRIOR_WEIGHT);
+        let current_mean = self.mean.with_prior(1.0, MEAN_PACE_PRIOR_WEIGHT);
         self.mean
-            .add(MEAN_DECAY, pace.min(current_mean * MAX_MULTIPLE_OF_MEAN));
+            .add(MEAN_WEIGHT_DECAY, pace.min(current_mean * MAX_PACE_TO_MEAN_RATIO));
         if let Some((first, gap)) = before {
             self.persistence.observe(first - mean, pace - mean, gap);
         }
         let traits = PaceTraits {
             persistence_seconds: self.persistence.seconds(),
-            mean: self.mean.with_prior(1.0, PRIOR_WEIGHT),
+            mean: self.mean.with_prior(1.0, MEAN_PACE_PRIOR_WEIGHT),
+        };
+        let differs = |old: f64, new: f64| {
+            !(old / MIN_APPLIED_CHANGE_FACTOR..=old * MIN_APPLIED_CHANGE_FACTOR).contains(&new)
         };
-        let differs =
-            |old: f64, new: f64| !(old / MIN_APPLIED_CHANGE..=old * MIN_APPLIED_CHANGE).contains(&new);
         let changed = differs(self.traits.persistence_seconds, traits.persistence_seconds)
             || differs(self.traits.mean, traits.mean);
         if changed {
@@ -129,15 +130,15 @@
 
     /// Divides the ratio of an observed time to the expected one by the current baseline of that kind of work.
     ///
-    /// Only the product of the pool's speed and an engine's lasting pace is observable. Without the baseline the lasting
-    /// paces of all engines could drift in one direction while the speed of the pool drifts in the other.
-    pub(super) fn relative_to_baseline(&mut self, kind: ObservedWork, ratio: f64, lasting: f64) -> f64 {
+    /// Only the product of the pool's speed and an engine's long-term pace is observable. Without the baseline the
+    /// long-term paces of all engines could drift in one direction while the speed of the pool drifts in the other.
+    pub(super) fn relative_to_baseline(&mut self, kind: ObservedWork, ratio: f64, long_term: f64) -> f64 {
         let baseline = &mut self.baselines[kind as usize];
         let mean = baseline.with_prior(0.0, BASELINE_PRIOR_WEIGHT);
         if ratio.is_finite() && ratio > 0.0 {
-            let log = (ratio / lasting).ln();
-            let max = MAX_DEVIATION.ln();
-            baseline.add(BASELINE_DECAY, log.clamp(mean - max, mean + max));
+            let log = (ratio / long_term).ln();
+            let max = MAX_OBSERVATION_DEVIATION.ln();
+            baseline.add(BASELINE_WEIGHT_DECAY, log.clamp(mean - max, mean + max));
         }
         ratio / mean.exp()
     }
@@ -150,8 +151,8 @@
             return;
         }
         let bounded = token_seconds.clamp(
-            self.token_seconds / MAX_DEVIATION,
-            self.token_seconds * MAX_DEVIATION,
+            self.token_seconds / MAX_OBSERVATION_DEVIATION,
+            self.token_seconds * MAX_OBSERVATION_DEVIATION,
         );
         self.token_seconds += TOKEN_TIME_SMOOTHING * (bounded - self.token_seconds);
     }
--- a/crates/core/src/routing/pool/pace/report.rs
+++ b/crates/core/src/routing/pool/pace/report.rs
@@ -14,14 +14,14 @@
     pub age_millis: u16,
 }
 
-/// The sender's own estimate of an engine's lasting pace.
+/// The sender's own estimate of an engine's long-term pace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LastingPaceReport {
+pub struct LongTermPaceReport {
     /// The engine.
     pub engine: SubjectHandle,
     /// The factor, in thousandths.
     pub thousandths: u16,
-    /// Observations that it rests on.
+    /// Weight of the observations behind the estimate.
     pub weight: u8,
 }
 
@@ -30,8 +30,8 @@
 pub struct PaceReports {
     /// Momentary paces that differ from the estimates of the receivers.
     pub figures: Vec<ReportedPace>,
-    /// Lasting paces, of some engines at a time.
-    pub lasting: Vec<LastingPaceReport>,
+    /// Long-term paces, of some engines at a time.
+    pub lasting: Vec<LongTermPaceReport>,
 }
 
 impl PaceReports {
--- a/crates/core/src/routing/pool/pace/router.rs
+++ b/crates/core/src/routing/pool/pace/router.rs
@@ -1,7 +1,7 @@
 //! Paces of engines in the router: updates from reports and observed times, and reports for peers.
 
 use super::pool_pace::{ObservedWork, PaceObservation};
-use super::report::{LastingPaceReport, PaceReports, ReportedPace};
+use super::report::{LongTermPaceReport, PaceReports, ReportedPace};
 use super::{EnginePaceUse, reported_pace};
 use crate::forwarding::PoolId;
 use crate::identity::EngineId;
@@ -13,10 +13,10 @@
 
 /// Added to expected and measured times before they are compared, in seconds, so that a small delay of a short prefill
 /// does not count as a slow engine.
-const FLOOR_SECONDS: f64 = 0.020;
+const RATIO_OFFSET_SECONDS: f64 = 0.020;
 
-/// Expected time at which an observation has half the weight of a long one, in seconds.
-const HALF_WEIGHT_SECONDS: f64 = 0.050;
+/// Expected time of the work, in seconds, at which an observation has half of the maximum weight.
+const HALF_WEIGHT_EXPECTED_SECONDS: f64 = 0.050;
 
 /// Minimum length of an output whose time is evaluated, in tokens. The first event is excluded, as it ends the prefill.
 const MIN_OUTPUT_TOKENS: u32 = 8;
@@ -25,21 +25,21 @@
 const MIN_OUTPUT_DURATION: Duration = Duration::from_millis(20);
 
 /// Minimum deviation of a reported pace from its estimate, as a factor, at which it is sent to peers.
-const MIN_SENT_DEVIATION: f64 = 1.3;
+const MIN_SENT_PACE_DEVIATION: f64 = 1.3;
 
 /// Maximum number of engines whose momentary pace waits to be sent.
-const MAX_UNSENT: usize = 64;
+const MAX_UNSENT_PACES: usize = 64;
 
-/// Minimum change of a lasting pace, as a factor, at which it is logged.
-const MIN_LOGGED_CHANGE: f64 = 1.25;
+/// Minimum factor by which a long-term pace must change to be logged.
+const MIN_LOGGED_PACE_CHANGE_FACTOR: f64 = 1.25;
 
-/// Minimum weight of the observations at which a lasting pace is logged.
-const MIN_LOGGED_WEIGHT: f64 = 8.0;
+/// Minimum weight of the observations at which a long-term pace is logged.
+const MIN_LOGGED_PACE_WEIGHT: f64 = 8.0;
 
 /// Maximum number of changes that wait to be logged.
-const MAX_UNLOGGED_CHANGES: usize = 32;
+const MAX_UNLOGGED_PACE_CHANGES: usize = 32;
 
-/// A change of the estimate of an engine's lasting pace, for the log.
+/// A change of the estimate of an engine's long-term pace, for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PaceChange {
     /// Engine whose estimate changed.
@@ -55,13 +55,13 @@
 /// Range of the paces of the engines in all pools for which paces are used.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PaceSpread {
-    /// Smallest lasting factor.
-    pub min_lasting: f64,
-    /// Largest lasting factor.
-    pub max_lasting: f64,
+    /// Smallest long-term factor.
+    pub min_long_term: f64,
+    /// Largest long-term factor.
+    pub max_long_term: f64,
     /// Largest momentary factor.
     pub max_momentary: f64,
-    /// Engines whose latest momentary pace is recent enough to count.
+    /// Engines with a momentary pace that is recent enough to affect the estimate.
     pub engines_with_current_pace: usize,
     /// Time for which a momentary pace remains valid, in seconds; the smallest of all pools.
     pub persistence_seconds: f64,
@@ -93,10 +93,13 @@
             .map(|(reported, reported_at)| (reported, now.since(reported_at)));
         let estimated = pace.momentary_factor(now);
         let changed = pool_pace.observe(reported, before, pace.momentary.mean(&pace.traits));
-        pace.momentary.record_reported(reported, now);
-        let is_large_change = reported.max(estimated) / reported.min(estimated) >= MIN_SENT_DEVIATION;
+        pace.momentary.record_reported_pace(reported, now);
+        let is_large_change = reported.max(estimated) / reported.min(estimated) >= MIN_SENT_PACE_DEVIATION;
         let handle = state.handle;
-        if is_large_change && self.unsent_paces.len() < MAX_UNSENT && !self.unsent_paces.contains(&handle) {
+        if is_large_change
+            && self.unsent_paces.len() < MAX_UNSENT_PACES
+            && !self.unsent_paces.contains(&handle)
+        {
             self.unsent_paces.push(handle);
         }
         if changed || !state.pace.is_enabled {
@@ -139,30 +142,33 @@
             momentary,
             ..
         } = observation;
-        let weight = expected / (expected + HALF_WEIGHT_SECONDS);
-        let lasting_ratio = (took + FLOOR_SECONDS) / (expected * momentary + FLOOR_SECONDS);
-        let lasting = state.pace.lasting.factor();
-        let momentary_ratio = (took + FLOOR_SECONDS) / (expected * lasting + FLOOR_SECONDS);
+        let weight = expected / (expected + HALF_WEIGHT_EXPECTED_SECONDS);
+        let long_term_ratio = (took + RATIO_OFFSET_SECONDS) / (expected * momentary + RATIO_OFFSET_SECONDS);
+        let long_term = state.pace.long_term.factor();
+        let momentary_ratio = (took + RATIO_OFFSET_SECONDS) / (expected * long_term + RATIO_OFFSET_SECONDS);
         let pool_pace = self.paces.entry(state.engine.pool.clone()).or_default();
-        let ratio = pool_pace.relative_to_baseline(observation.kind, lasting_ratio, lasting);
-        state.pace.lasting.observe(ratio, weight);
+        let ratio = pool_pace.relative_to_baseline(observation.kind, long_term_ratio, long_term);
+        state.pace.long_term.observe(ratio, weight);
         state
             .pace
             .momentary
-            .record_observed(momentary_ratio, &state.pace.traits, now);
+            .record_observed_ratio(momentary_ratio, &state.pace.traits, now);
         self.queue_change_for_log(engine);
     }
 
-    /// Queues a change of the lasting pace for the log if the change and its weight are large enough.
+    /// Queues a change of the long-term pace for the log if the change and its weight are large enough.
     fn queue_change_for_log(&mut self, engine: &EngineId) {
         let Some(state) = self.engines.get_mut(engine) else {
             return;
         };
-        let after = state.pace.lasting.factor();
+        let after = state.pace.long_term.factor();
         let before = state.pace.last_logged.unwrap_or(1.0);
-        let weight = state.pace.lasting.weight();
-        let is_large_change = after.max(before) / after.min(before) >= MIN_LOGGED_CHANGE;
-        if is_large_change && weight >= MIN_LOGGED_WEIGHT && self.pace_changes.len() < MAX_UNLOGGED_CHANGES {
+        let weight = state.pace.long_term.weight();
+        let is_large_change = after.max(before) / after.min(before) >= MIN_LOGGED_PACE_CHANGE_FACTOR;
+        if is_large_change
+            && weight >= MIN_LOGGED_PACE_WEIGHT
+            && self.pace_changes.len() < MAX_UNLOGGED_PACE_CHANGES
+        {
             state.pace.last_logged = Some(after);
             self.pace_changes.push(PaceChange {
                 engine: engine.clone(),
@@ -173,7 +179,7 @@
         }
     }
 
-    /// Updates paces from a finished output, measured from its first event.
+    /// Updates paces from the time between the first event and the end of a finished output.
     pub(in crate::routing::pool) fn observe_output(
         &mut self,
         engine: &EngineId,
@@ -191,7 +197,7 @@
             return;
         }
         let momentary = (work.momentary_pace + state.pace.momentary_factor(now)) / 2.0;
-        let factor = momentary * state.pace.lasting.factor();
+        let factor = momentary * state.pace.long_term.factor();
         let tokens = f64::from(work.output_tokens);
         let pool_pace = self.paces.entry(state.engine.pool.clone()).or_default();
         pool_pace.observe_output(took.as_secs_f64() / tokens / factor);
@@ -207,7 +213,8 @@
         }
     }
 
-    /// Expected decode time of the output at an average engine, in seconds; zero if it is unknown or paces are not used.
+    /// Expected decode time of the output at an average engine, in seconds; zero if it is unknown or paces are not
+    /// used.
     pub(in crate::routing::pool) fn output_seconds(&self, query: &PoolQuery<'_>) -> f64 {
         if self.weights.engine_pace == EnginePaceUse::Off {
             return 0.0;
@@ -217,8 +224,8 @@
         token_seconds.unwrap_or_default() * f64::from(tokens)
     }
 
-    /// Mean speed of the engines of a pool relative to an engine of average lasting and momentary pace; one if paces are
-    /// not used.
+    /// Mean speed of the engines of a pool relative to an engine of average long-term and momentary pace; one if paces
+    /// are not used.
     pub(in crate::routing::pool) fn mean_relative_speed(&self, pool: &PoolId) -> f64 {
         let engines = self.engines.values().filter(|state| state.engine.pool == *pool);
         let speeds: Vec<f64> = engines
@@ -231,11 +238,12 @@
         speeds.iter().sum::<f64>() / speeds.len() as f64
     }
 
-    /// Reports for peers: momentary paces that deviated from the estimate, and the lasting paces of some engines in turn.
+    /// Reports for peers: momentary paces that deviated from the estimate, and the long-term paces of some engines in
+    /// turn.
     pub fn take_pace_reports(
         &mut self,
         max_momentary_reports: usize,
-        max_lasting_reports: usize,
+        max_long_term_reports: usize,
         now: MonotonicTime,
     ) -> PaceReports {
         let rest = self
@@ -252,18 +260,18 @@
         });
         PaceReports {
             figures: figures.collect(),
-            lasting: self.next_lasting_reports(max_lasting_reports),
+            lasting: self.next_long_term_reports(max_long_term_reports),
         }
     }
 
-    /// Lasting paces of the next engines, ordered by their ids.
-    fn next_lasting_reports(&mut self, max_reports: usize) -> Vec<LastingPaceReport> {
-        let last = self.lasting_pace_cursor.clone();
+    /// Long-term paces of the next engines, ordered by their ids.
+    fn next_long_term_reports(&mut self, max_reports: usize) -> Vec<LongTermPaceReport> {
+        let last = self.long_term_pace_cursor.clone();
         let is_after_cursor = |engine: &EngineId| last.as_ref().is_none_or(|last| engine > last);
         let following = self.engines.iter().filter(|(engine, _)| is_after_cursor(engine));
         let batch = following.filter_map(|(engine, state)| {
-            let (factor, weight) = state.pace.lasting.own_report()?;
-            let report = LastingPaceReport {
+            let (factor, weight) = state.pace.long_term.own_report()?;
+            let report = LongTermPaceReport {
                 engine: state.handle,
                 thousandths: (factor * 1_000.0).round() as u16,
                 weight: weight.min(f64::from(u8::MAX)) as u8,
@@ -272,7 +280,7 @@
         });
         let batch: Vec<_> = batch.take(max_reports).collect();
         // A short batch ends the list, so the next call starts from the beginning.
-        self.lasting_pace_cursor = (batch.len() == max_reports)
+        self.long_term_pace_cursor = (batch.len() == max_reports)
             .then(|| batch.last().map(|(engine, _)| engine.clone()))
             .flatten();
         batch.into_iter().map(|(_, report)| report).collect()
@@ -298,13 +306,13 @@
                 let factor = f64::from(report.thousandths) / 1_000.0;
                 state
                     .pace
-                    .lasting
+                    .long_term
                     .add_peer_report(factor, f64::from(report.weight));
             }
         }
     }
 
-    /// Changes of lasting paces since the last call, for the log.
+    /// Changes of long-term paces since the last call, for the log.
     pub fn take_pace_changes(&mut self) -> Vec<PaceChange> {
         std::mem::take(&mut self.pace_changes)
     }
@@ -312,11 +320,11 @@
     /// Range of the paces of engines; absent if paces are used for no engine.
     pub fn pace_spread(&self, now: MonotonicTime) -> Option<PaceSpread> {
         let enabled = || self.engines.values().filter(|state| state.pace.is_enabled);
-        let lasting = || enabled().map(|state| state.pace.lasting.factor());
+        let long_term = || enabled().map(|state| state.pace.long_term.factor());
         let persistences = self.paces.values().map(|pace| pace.traits().persistence_seconds);
         Some(PaceSpread {
-            min_lasting: lasting().min_by(f64::total_cmp)?,
-            max_lasting: lasting().max_by(f64::total_cmp)?,
+            min_long_term: long_term().min_by(f64::total_cmp)?,
+            max_long_term: long_term().max_by(f64::total_cmp)?,
             max_momentary: enabled()
                 .map(|state| state.pace.momentary_factor(now))
                 .max_by(f64::total_cmp)?,
--- a/crates/core/src/routing/pool/paths.rs
+++ b/crates/core/src/routing/pool/paths.rs
@@ -6,8 +6,8 @@
 //! sent. The zone beyond a suspected path gets only occasional trial requests and no KV cache is fetched from it. After
 //! the first answer, load returns gradually.
 //!
-//! Each answer over a path clears the recorded silences, so engines that fail while others in their zone answer don't
-//! make the path suspected. A path covers both directions. There is no path within a zone.
+//! Each answer over a path clears its recorded unanswered requests, so an engine that fails while others in its zone
+//! answer does not make the path suspected. A path covers both directions. There is no path within a zone.
 //!
 //! Each observation counts for three paths: the path between the two zones, and for each of the two zones the combined
 //! path to all other zones. If a zone is isolated, its combined path collects evidence from all other zones and is
@@ -20,25 +20,27 @@
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// Minimum number of silent engines before a trusted path is suspected; two may crash at the same time by chance.
-const MIN_SILENT_ENGINES: usize = 3;
+/// Minimum number of unresponsive engines at which a trusted path becomes suspected; two may crash at the same time by
+/// chance.
+const MIN_UNRESPONSIVE_ENGINES: usize = 3;
 
-/// Minimum number of silent engines before a recovering path is suspected again.
-const MIN_SILENT_ENGINES_RECOVERING: usize = 2;
+/// Minimum number of unresponsive engines at which a recovering path becomes suspected again.
+const MIN_UNRESPONSIVE_ENGINES_RECOVERING: usize = 2;
 
-/// Time within which the silences must occur. Longer than the timeout of a request to a silent engine, and shorter than
-/// the usual time between unrelated crashes.
-const SILENCE_WINDOW: Duration = Duration::from_millis(2_000);
+/// Time window in which unanswered requests count together. Longer than the request timeout, and shorter than the usual
+/// time between unrelated crashes.
+const UNANSWERED_REQUEST_WINDOW: Duration = Duration::from_millis(2_000);
 
-/// Number of mean gaps without an answer after which a path counts as quiet. Smaller values cause false suspicions
-/// while many engines are down.
-const QUIET_GAPS: f64 = 12.0;
+/// Minimum time without an answer, as a multiple of the mean time between answers, at which a path counts as quiet.
+/// Smaller values cause false suspicions while many engines are down.
+const MIN_QUIET_TO_MEAN_GAP_RATIO: f64 = 12.0;
 
-/// Weight of a new gap in the moving average of gaps.
-const GAP_WEIGHT: f64 = 0.1;
+/// Weight of the latest gap between two answers in the moving average.
+const ANSWER_GAP_WEIGHT: f64 = 0.1;
 
-/// Maximum gap in the moving average, so that an outage does not distort it.
-const MAX_GAP: Duration = Duration::from_millis(500);
+/// Maximum gap between two answers that enters the moving average; longer gaps are clamped, so that an outage does not
+/// distort it.
+const MAX_ANSWER_GAP: Duration = Duration::from_millis(500);
 
 /// Initial interval between trial requests over a suspected path.
 const INITIAL_TRIAL_INTERVAL: Duration = Duration::from_millis(500);
@@ -56,7 +58,7 @@
     /// The new state.
     pub state: PathState,
     /// Number of engines that did not answer since the last answer.
-    pub silent_engines: usize,
+    pub unresponsive_engines: usize,
     /// Time spent in the previous state; for a path that became suspected, time since the last answer.
     pub elapsed: Duration,
 }
@@ -96,9 +98,9 @@
     },
 }
 
-/// A request over a path that was not answered in time.
+/// A request to an engine in another zone that timed out without an answer.
 #[derive(Clone, Debug)]
-struct Silence {
+struct UnansweredRequest {
     engine: SubjectHandle,
     /// Zone of the node that sent the request.
     from: ZoneId,
@@ -108,7 +110,7 @@
     at: MonotonicTime,
 }
 
-impl Silence {
+impl UnansweredRequest {
     fn new(
         from: &ZoneId,
         to: &ZoneId,
@@ -131,12 +133,12 @@
     zone: ZoneId,
     /// Absent for the combined path to all other zones.
     other_zone: Option<ZoneId>,
-    /// Lower bound of the time of the last answer.
+    /// Earliest possible time of the last answer.
     answered_at: MonotonicTime,
     /// Moving average of the time between two answers, in seconds; absent before the second answer.
     mean_gap: Option<f64>,
-    /// Silences since the last answer, at most one per engine.
-    silences: Vec<Silence>,
+    /// Unanswered requests since the last answer, at most one per engine.
+    unanswered_requests: Vec<UnansweredRequest>,
     phase: Phase,
 }
 
@@ -148,12 +150,12 @@
 }
 
 /// Maximum number of changes queued until the next call of [`Paths::take_changes`].
-const MAX_PENDING_CHANGES: usize = 64;
+const MAX_PENDING_PATH_CHANGES: usize = 64;
 
 impl Paths {
     /// Records that an engine in zone `to` did not answer a request from zone `from`. `engine_count` is the number
     /// of engines known in zone `to`.
-    pub fn record_silence(
+    pub fn record_unanswered_request(
         &mut self,
         from: &ZoneId,
         to: &ZoneId,
@@ -163,16 +165,16 @@
         now: MonotonicTime,
     ) {
         self.add_missing(from, to);
-        let silence = Silence::new(from, to, engine, sent_at, now);
+        let request = UnansweredRequest::new(from, to, engine, sent_at, now);
         let paths = self.paths.iter_mut().filter(|path| path.connects(from, to));
-        let changes = paths.filter_map(|path| path.on_silence(&silence, engine_count, now));
+        let changes = paths.filter_map(|path| path.on_unanswered_request(&request, engine_count, now));
         self.changes.extend(changes);
-        self.changes.truncate(MAX_PENDING_CHANGES);
+        self.changes.truncate(MAX_PENDING_PATH_CHANGES);
     }
 
-    /// Records a silence reported by another placer. Placers don't report answers, so the silence counts only for
-    /// combined paths, over which this placer receives most answers itself, and only if these have stopped.
-    pub fn record_reported_silence(
+    /// Records an unanswered request that another placer reported. Placers don't report answers, so the request counts
+    /// only for combined paths without recent answers to this placer.
+    pub fn record_reported_unanswered_request(
         &mut self,
         from: &ZoneId,
         to: &ZoneId,
@@ -182,12 +184,12 @@
         now: MonotonicTime,
     ) {
         self.add_missing(from, to);
-        let silence = Silence::new(from, to, engine, sent_at, now);
+        let request = UnansweredRequest::new(from, to, engine, sent_at, now);
         let paths = self.paths.iter_mut().filter(|path| path.connects(from, to));
         let combined = paths.filter(|path| path.other_zone.is_none() && path.has_gone_quiet(now));
-        let changes = combined.filter_map(|path| path.on_silence(&silence, engine_count, now));
+        let changes = combined.filter_map(|path| path.on_unanswered_request(&request, engine_count, now));
         self.changes.extend(changes);
-        self.changes.truncate(MAX_PENDING_CHANGES);
+        self.changes.truncate(MAX_PENDING_PATH_CHANGES);
     }
 
     /// Records that zone `to` answered a request from zone `from`, at `now` or later.
@@ -196,7 +198,7 @@
         let paths = self.paths.iter_mut().filter(|path| path.connects(from, to));
         let changes = paths.filter_map(|path| path.on_answer(now));
         self.changes.extend(changes);
-        self.changes.truncate(MAX_PENDING_CHANGES);
+        self.changes.truncate(MAX_PENDING_PATH_CHANGES);
     }
 
     /// Records that a request is sent. Over a suspected path it is a trial and increases the interval to the next one.
@@ -256,7 +258,7 @@
             other_zone: other_zone.cloned(),
             answered_at: MonotonicTime::default(),
             mean_gap: None,
-            silences: Vec::new(),
+            unanswered_requests: Vec::new(),
             phase: Phase::Trusted,
         }
     }
@@ -284,25 +286,30 @@
         }
     }
 
-    fn on_silence(
+    fn on_unanswered_request(
         &mut self,
-        silence: &Silence,
+        request: &UnansweredRequest,
         engine_count: usize,
         now: MonotonicTime,
     ) -> Option<PathChange> {
-        if self.answered_at > silence.sent_at {
+        if self.answered_at > request.sent_at {
             return None;
         }
-        let is_recent =
-            |other: &Silence| other.engine != silence.engine && now.since(other.at) < SILENCE_WINDOW;
-        self.silences.retain(is_recent);
-        self.silences.push(silence.clone());
-        let min_silences = match self.phase {
+        let is_recent = |other: &UnansweredRequest| {
+            other.engine != request.engine && now.since(other.at) < UNANSWERED_REQUEST_WINDOW
+        };
+        self.unanswered_requests.retain(is_recent);
+        self.unanswered_requests.push(request.clone());
+        let min_unanswered_requests = match self.phase {
             Phase::Suspected { .. } => return None,
-            Phase::Recovering { .. } => MIN_SILENT_ENGINES_RECOVERING,
-            Phase::Trusted => MIN_SILENT_ENGINES.min(engine_count.max(MIN_SILENT_ENGINES_RECOVERING)),
+            Phase::Recovering { .. } => MIN_UNRESPONSIVE_ENGINES_RECOVERING,
+            Phase::Trusted => {
+                MIN_UNRESPONSIVE_ENGINES.min(engine_count.max(MIN_UNRESPONSIVE_ENGINES_RECOVERING))
+            }
         };
-        if self.silences.len() < min_silences || !self.has_silences_of_enough_zones() {
+        if self.unanswered_requests.len() < min_unanswered_requests
+            || !self.has_unanswered_requests_of_enough_zones()
+        {
             return None;
         }
         self.phase = Phase::Suspected {
@@ -313,22 +320,22 @@
         Some(self.change(PathState::Suspected, now.since(self.answered_at)))
     }
 
-    /// For a combined path, whether the silences involve more than one other zone. Otherwise the other zone may be the
-    /// one that is isolated.
-    fn has_silences_of_enough_zones(&self) -> bool {
-        let remote_zone = |silence: &Silence| {
-            if silence.from == self.zone {
-                silence.to.clone()
+    /// For a combined path, whether the unanswered requests involve more than one other zone. Otherwise the other zone
+    /// may be the one that is isolated.
+    fn has_unanswered_requests_of_enough_zones(&self) -> bool {
+        let remote_zone = |request: &UnansweredRequest| {
+            if request.from == self.zone {
+                request.to.clone()
             } else {
-                silence.from.clone()
+                request.from.clone()
             }
         };
-        let first_zone = self.silences.first().map(remote_zone);
+        let first_zone = self.unanswered_requests.first().map(remote_zone);
         self.other_zone.is_some()
             || self
-                .silences
+                .unanswered_requests
                 .iter()
-                .any(|silence| Some(remote_zone(silence)) != first_zone)
+                .any(|request| Some(remote_zone(request)) != first_zone)
     }
 
     fn on_answer(&mut self, now: MonotonicTime) -> Option<PathChange> {
@@ -346,7 +353,7 @@
             }
             _ => None,
         };
-        self.silences.clear();
+        self.unanswered_requests.clear();
         change
     }
 
@@ -354,16 +361,16 @@
         if self.answered_at == MonotonicTime::default() {
             return;
         }
-        let gap = now.since(self.answered_at).min(MAX_GAP).as_secs_f64();
+        let gap = now.since(self.answered_at).min(MAX_ANSWER_GAP).as_secs_f64();
         let mean = self.mean_gap.unwrap_or(gap);
-        self.mean_gap = Some(mean + GAP_WEIGHT * (gap - mean));
+        self.mean_gap = Some(mean + ANSWER_GAP_WEIGHT * (gap - mean));
     }
 
     /// Whether there has been no answer for much longer than the mean gap.
     fn has_gone_quiet(&self, now: MonotonicTime) -> bool {
         let quiet_seconds = now.since(self.answered_at).as_secs_f64();
         self.mean_gap
-            .is_some_and(|mean| quiet_seconds >= mean * QUIET_GAPS)
+            .is_some_and(|mean| quiet_seconds >= mean * MIN_QUIET_TO_MEAN_GAP_RATIO)
     }
 
     fn on_sent(&mut self, now: MonotonicTime) {
@@ -383,7 +390,7 @@
             zone: self.zone.clone(),
             other_zone: self.other_zone.clone(),
             state,
-            silent_engines: self.silences.len(),
+            unresponsive_engines: self.unanswered_requests.len(),
             elapsed,
         }
     }
--- a/crates/core/src/routing/pool/pauses.rs
+++ b/crates/core/src/routing/pool/pauses.rs
@@ -19,7 +19,7 @@
 //! decays within half a second. A stream outlasts a single prefill, so the recent peak predicts its pauses better than
 //! the current queue. As a result, prefill concentrates on few decode engines and new streams avoid these. `event
 //! interval` is the time between events without concurrent prefill. Only streams that have kept to their bound count,
-//! with the shortest bound among them.
+//! and the shortest of their bounds applies.
 //!
 //! The late probability rises steeply near the bound and is at most one, so a request is always placed: if every engine
 //! exceeds a bound, the prompt goes where it delays the fewest streams. A stream that has already exceeded its bound is
@@ -38,8 +38,8 @@
 /// Weight of a new observation in the moving average of the event interval.
 const EVENT_INTERVAL_WEIGHT: f64 = 0.05;
 
-/// Minimum average from which the outlier limit is computed, in seconds. Shorter intervals are within clock and network
-/// jitter.
+/// Minimum event interval from which the outlier limit is computed, in seconds. Shorter intervals are within clock and
+/// network jitter.
 const MIN_EVENT_INTERVAL_SECONDS: f64 = 0.001;
 
 /// Moving average of the time between two events of a stream without concurrent prefill, normalized to an engine of
@@ -67,7 +67,7 @@
 }
 
 /// Time constant of the exponential decay of [`RecentPrefill`], about the duration of a stream with ten events.
-const DECAY_TIME_CONSTANT: Duration = Duration::from_millis(500);
+const RECENT_PREFILL_TIME_CONSTANT: Duration = Duration::from_millis(500);
 
 /// Recent peak of the prompt tokens waiting for prefill at an engine, with exponential decay.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -82,7 +82,7 @@
         let Some(at) = self.at else {
             return 0.0;
         };
-        self.tokens * (-now.since(at).as_secs_f64() / DECAY_TIME_CONSTANT.as_secs_f64()).exp()
+        self.tokens * (-now.since(at).as_secs_f64() / RECENT_PREFILL_TIME_CONSTANT.as_secs_f64()).exp()
     }
 
     /// Records the tokens that currently wait for prefill, unless the decayed peak is higher.
--- a/crates/core/src/routing/pool/recent.rs
+++ b/crates/core/src/routing/pool/recent.rs
@@ -26,7 +26,7 @@
     /// changes.
     pub fn apply_to(self, listing: &mut EngineListing) -> Vec<ListChange> {
         match self.changes.last().map(|(version, _)| *version) {
-            Some(last) if listing.reflected_version() >= self.base => listing.apply(self.changes, last),
+            Some(last) if listing.applied_version() >= self.base => listing.apply(self.changes, last),
             _ => Vec::new(),
         }
     }
@@ -51,7 +51,7 @@
         changes: &[(u64, ListChange)],
         now: MonotonicTime,
     ) {
-        if listing.reflected_version() > after {
+        if listing.applied_version() > after {
             // A peer has already published some of these changes, so they may not be contiguous with those recorded
             // here.
             return self.reset();
--- a/crates/core/src/routing/pool/router.rs
+++ b/crates/core/src/routing/pool/router.rs
@@ -8,7 +8,7 @@
 use super::paths::Paths;
 use super::pool_speeds::PoolSpeeds;
 use super::prompt_demand::PromptDemand;
-use super::silences::{EngineAvailabilityChange, PendingSilence};
+use super::silences::{EngineAvailabilityChange, PendingUnansweredRequest};
 use super::weights::PoolWeights;
 use super::working_set::WorkingSet;
 use crate::engine_signals::SignalRegister;
@@ -36,13 +36,13 @@
     pub(super) prefix_updates: Vec<PrefixUpdate>,
     /// State of the network paths between zones.
     pub(super) paths: Paths,
-    pub(super) pending_silences: Vec<PendingSilence>,
+    pub(super) pending_unanswered_requests: Vec<PendingUnansweredRequest>,
     pub(super) availability_changes: Vec<EngineAvailabilityChange>,
     /// Engines whose momentary pace has not been sent to peers yet.
     pub(super) unsent_paces: Vec<SubjectHandle>,
-    /// Last engine whose lasting pace was sent to peers.
-    pub(super) lasting_pace_cursor: Option<EngineId>,
-    /// Changes of lasting paces that have not been taken yet.
+    /// Last engine whose long-term pace was sent to peers.
+    pub(super) long_term_pace_cursor: Option<EngineId>,
+    /// Changes of long-term paces that have not been taken yet.
     pub(super) pace_changes: Vec<PaceChange>,
     pub(super) demand: PromptDemand,
     /// Rate of requests sent by this node, by pool and stage.
@@ -70,10 +70,10 @@
             traits: BTreeMap::new(),
             prefix_updates: Vec::new(),
             paths: Paths::default(),
-            pending_silences: Vec::new(),
+            pending_unanswered_requests: Vec::new(),
             availability_changes: Vec::new(),
             unsent_paces: Vec::new(),
-            lasting_pace_cursor: None,
+            long_term_pace_cursor: None,
             pace_changes: Vec::new(),
             demand: PromptDemand::default(),
             sent_rates: BTreeMap::new(),
@@ -114,8 +114,8 @@
         self.apply_cordons_to(&id);
     }
 
-    /// Handles the removal of an engine from the platform's list. `doubtful` means that the store has just had problems,
-    /// so the engine may be alive and only have failed to renew its entry.
+    /// Handles the removal of an engine from the platform's list. `doubtful` means that the store has just had
+    /// problems, so the engine may be alive and only have failed to renew its entry.
     pub fn on_engine_delisted(&mut self, engine: &EngineId, doubtful: bool, now: MonotonicTime) {
         if let Some(state) = self.engines.get_mut(engine) {
             state.delisted = Some(Delisted { since: now, doubtful });
@@ -130,7 +130,8 @@
         self.remove_delisted_engine(engine);
     }
 
-    /// Handles an unreadable entry: all starts of the engine with that name are no longer used. Returns the known starts.
+    /// Handles an unreadable entry: all starts of the engine with that name are no longer used. Returns the known
+    /// starts.
     pub fn on_entry_unreadable(&mut self, entry: &EngineId, now: MonotonicTime) -> Vec<EngineId> {
         let starts = self.starts_of(entry.as_str()).map(|state| {
             let since = state.delisted.map_or(now, |removal| removal.since);
--- a/crates/core/src/routing/pool/silences.rs
+++ b/crates/core/src/routing/pool/silences.rs
@@ -1,9 +1,9 @@
-//! Silences: requests that engines did not answer in time, observed by this node or reported by other placers.
+//! Requests that engines did not answer in time, observed by this node or reported by other placers.
 //!
 //! Placers share these observations because each of them sees only a fraction of the requests. Without the reports,
 //! every placer would have to let requests time out before it avoids an engine.
 
-use super::beliefs::SilenceReport;
+use super::beliefs::UnansweredRequestReport;
 use super::dispatches::PoolTicket;
 use super::paths::PathChange;
 use super::router::PoolRouter;
@@ -12,12 +12,12 @@
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// Maximum number of silences queued for the next message to other placers.
-const MAX_PENDING_SILENCES: usize = 16;
+/// Maximum number of unanswered requests queued for the next message to other placers.
+const MAX_PENDING_UNANSWERED_REQUESTS: usize = 16;
 
-/// A silence that has not been reported to other placers yet.
+/// An unanswered request that has not been reported to other placers yet.
 #[derive(Clone, Debug)]
-pub(super) struct PendingSilence {
+pub(super) struct PendingUnansweredRequest {
     engine: SubjectHandle,
     /// Zone of the node that sent the request.
     from: ZoneId,
@@ -36,11 +36,11 @@
 }
 
 /// Maximum number of changes queued until the next call of [`PoolRouter::take_availability_changes`].
-const MAX_PENDING_CHANGES: usize = 64;
+const MAX_PENDING_AVAILABILITY_CHANGES: usize = 64;
 
 impl PoolRouter {
     /// Records that an engine did not answer a request, or accept a connection, within its timeout.
-    pub fn on_silence(&mut self, ticket: &PoolTicket, now: MonotonicTime) {
+    pub fn on_unanswered_request(&mut self, ticket: &PoolTicket, now: MonotonicTime) {
         let Some(state) = self.engines.get_mut(ticket.engine()) else {
             return;
         };
@@ -54,8 +54,10 @@
         if pause.is_some() {
             self.record_availability_change(ticket.engine().clone(), pause, false);
         }
-        if self.pending_silences.len() < MAX_PENDING_SILENCES && self.paths.allows_transfer(from, &zone) {
-            self.pending_silences.push(PendingSilence {
+        if self.pending_unanswered_requests.len() < MAX_PENDING_UNANSWERED_REQUESTS
+            && self.paths.allows_transfer(from, &zone)
+        {
+            self.pending_unanswered_requests.push(PendingUnansweredRequest {
                 engine,
                 from: from.clone(),
                 sent_at: work.sent_at,
@@ -63,14 +65,14 @@
         }
         let engine_count = self.engine_count_in(&zone);
         self.paths
-            .record_silence(from, &zone, engine, engine_count, work.sent_at, now);
+            .record_unanswered_request(from, &zone, engine, engine_count, work.sent_at, now);
     }
 
-    /// Applies silence reports of another placer. If `avoids_engines`, an engine that has answered nobody since the
-    /// reported request was sent is avoided for a while, unless the path to its zone is suspected.
-    pub fn on_peer_silence_reports(
+    /// Applies another placer's reports of unanswered requests. If `avoids_engines`, an engine is avoided for a while
+    /// if it has not answered this node since the reported request was sent, unless the path to its zone is suspected.
+    pub fn on_unanswered_request_reports(
         &mut self,
-        reports: &[SilenceReport],
+        reports: &[UnansweredRequestReport],
         avoids_engines: bool,
         now: MonotonicTime,
     ) {
@@ -83,7 +85,7 @@
             let zone = state.engine.zone.clone();
             let has_answered_since = state.last_answer_at.is_some_and(|at| at > sent_at);
             let engine_count = self.engine_count_in(&zone);
-            self.paths.record_reported_silence(
+            self.paths.record_reported_unanswered_request(
                 &report.from,
                 &zone,
                 report.engine,
@@ -106,23 +108,28 @@
         }
     }
 
-    /// Takes up to `max_reports` pending silences as reports for other placers; the rest stays for the next call.
-    pub fn take_silence_reports(&mut self, max_reports: usize, now: MonotonicTime) -> Vec<SilenceReport> {
+    /// Takes up to `max_reports` pending unanswered requests as reports for other placers; the rest stays for the next
+    /// call.
+    pub fn take_unanswered_request_reports(
+        &mut self,
+        max_reports: usize,
+        now: MonotonicTime,
+    ) -> Vec<UnansweredRequestReport> {
         let rest = self
-            .pending_silences
-            .split_off(max_reports.min(self.pending_silences.len()));
-        let taken = std::mem::replace(&mut self.pending_silences, rest);
-        let reports = taken.into_iter().map(|silence| SilenceReport {
-            engine: silence.engine,
-            from: silence.from,
-            sent_before_millis: u32::try_from(now.since(silence.sent_at).as_millis()).unwrap_or(u32::MAX),
+            .pending_unanswered_requests
+            .split_off(max_reports.min(self.pending_unanswered_requests.len()));
+        let taken = std::mem::replace(&mut self.pending_unanswered_requests, rest);
+        let reports = taken.into_iter().map(|request| UnansweredRequestReport {
+            engine: request.engine,
+            from: request.from,
+            sent_before_millis: u32::try_from(now.since(request.sent_at).as_millis()).unwrap_or(u32::MAX),
         });
         reports.collect()
     }
 
-    /// Whether silences wait to be reported to other placers.
-    pub fn has_pending_silence_reports(&self) -> bool {
-        !self.pending_silences.is_empty()
+    /// Whether unanswered requests wait to be reported to other placers.
+    pub fn has_pending_unanswered_requests(&self) -> bool {
+        !self.pending_unanswered_requests.is_empty()
     }
 
     /// Takes the state changes of the paths between zones since the last call.
@@ -141,7 +148,7 @@
         pause: Option<Duration>,
         from_peer: bool,
     ) {
-        if self.availability_changes.len() < MAX_PENDING_CHANGES {
+        if self.availability_changes.len() < MAX_PENDING_AVAILABILITY_CHANGES {
             self.availability_changes.push(EngineAvailabilityChange {
                 engine,
                 pause,
--- a/crates/core/src/routing/pool/weights.rs
+++ b/crates/core/src/routing/pool/weights.rs
@@ -28,7 +28,8 @@
     pub other_zone_seconds: f64,
     /// Cost of transferring a KV cache to another zone, in seconds.
     pub transfer_zone_seconds: f64,
-    /// Cost in seconds of keeping a shared prefix only in one zone and only at spot engines, which may all be reclaimed.
+    /// Cost in seconds of keeping a shared prefix only in one zone and only at spot engines, which may all be
+    /// reclaimed.
     pub lone_zone_seconds: f64,
     /// Cost of a full set of slots, in seconds; scaled by the square of the used share.
     pub places_seconds: f64,
@@ -38,8 +39,8 @@
     pub overflow_seconds: f64,
     /// Cost of losing a request that may run on one engine only, in seconds.
     pub single_try_seconds: f64,
-    /// Upper bound of the random addition to the cost of an engine, in seconds. It keeps nodes that select at the same time
-    /// from all selecting the same of several equal engines.
+    /// Upper bound of the random addition to the cost of an engine, in seconds. It keeps nodes that select at the same
+    /// time from all selecting the same of several equal engines.
     pub spread_seconds: f64,
     /// Prefill speed that is assumed until one has been observed, in tokens per second.
     pub assumed_prompt_tokens_per_second: f64,
@@ -56,7 +57,7 @@
     pub pause_seconds: f64,
     /// Weight of the decode time if `engine_pace` is in use, so that the faster of two idle engines costs less.
     pub output_time: f64,
-    /// Engines for which the lasting and the momentary pace are tracked separately.
+    /// Engines for which the long-term and the momentary pace are tracked separately.
     pub engine_pace: EnginePaceUse,
     /// Size of the working set of a large pool.
     pub working_set: WorkingSetSettings,
--- a/crates/core/src/routing/pool/working_set/groups.rs
+++ b/crates/core/src/routing/pool/working_set/groups.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// Maximum number of changes that wait to be logged; further ones are logged later.
-const MAX_UNLOGGED_CHANGES: usize = 64;
+const MAX_UNLOGGED_GROUP_CHANGES: usize = 64;
 
 /// Engines of one pool, zone and stage.
 #[derive(Clone, Debug)]
@@ -38,8 +38,8 @@
         self.wanted.ceil() as usize + self.unusable
     }
 
-    /// The first engine of the reserve if it should be in use: all engines are, the target is not reached, or it precedes
-    /// an engine in use.
+    /// The first engine of the reserve if it should be in use: all engines are, the target is not reached, or it
+    /// precedes an engine in use.
     pub(super) fn next_from_reserve(&self, uses_all: bool) -> Option<SubjectHandle> {
         let first = *self.reserve.keys().next()?;
         let precedes = self.in_use.last().is_some_and(|last| first < *last);
@@ -115,7 +115,9 @@
     /// Queues a change for the log for each group whose number of engines in use differs from the logged one.
     pub(super) fn queue_changes_for_log(&mut self) {
         for group in &mut self.groups {
-            if group.last_logged != group.in_use.len() && self.unlogged_changes.len() < MAX_UNLOGGED_CHANGES {
+            if group.last_logged != group.in_use.len()
+                && self.unlogged_changes.len() < MAX_UNLOGGED_GROUP_CHANGES
+            {
                 group.last_logged = group.in_use.len();
                 self.unlogged_changes.push(WorkingSetChange {
                     pool: group.pool.clone(),
--- a/crates/core/src/routing/pool/working_set/growing.rs
+++ b/crates/core/src/routing/pool/working_set/growing.rs
@@ -10,14 +10,14 @@
 use crate::time::MonotonicTime;
 
 /// Fraction by which a group grows in one step.
-const GROWTH_FRACTION: f64 = 0.25;
+const GROUP_GROWTH_FRACTION: f64 = 0.25;
 
-/// Maximum number of growth steps for one request. Five steps about triple the engines in use.
-const MAX_GROWTH_STEPS: usize = 5;
+/// Maximum number of growth steps per request. Five steps about triple the engines in use.
+const MAX_GROWTH_STEPS_PER_REQUEST: usize = 5;
 
 impl PoolRouter {
-    /// Like [`Self::admit`], but brings engines of the reserve into use if the request would otherwise be rejected, late or
-    /// without an engine.
+    /// Like [`Self::admit`], but brings engines of the reserve into use if the request would otherwise be rejected,
+    /// late or without an engine.
     pub fn admit_or_grow(
         &mut self,
         query: &PoolQuery<'_>,
@@ -39,8 +39,8 @@
         self.decide_with_growth(query.pool, now, is_acceptable, |router| router.choose(query, now))
     }
 
-    /// Like [`Self::choose_output`], but brings engines of the reserve into use if no engine in use can take the request.
-    /// Absent if none of the reserve can either.
+    /// Like [`Self::choose_output`], but brings engines of the reserve into use if no engine in use can take the
+    /// request. Absent if none of the reserve can either.
     pub fn choose_output_or_grow(
         &mut self,
         query: &PoolQuery<'_>,
@@ -62,7 +62,7 @@
     ) -> Decision {
         self.update_working_set(now);
         let mut decision = decide(self);
-        for _ in 0..MAX_GROWTH_STEPS {
+        for _ in 0..MAX_GROWTH_STEPS_PER_REQUEST {
             if is_acceptable(&decision) || !self.grow(pool, now) {
                 break;
             }
@@ -86,7 +86,10 @@
             for index in stage_groups {
                 let group = &mut self.working_set.groups[index];
                 let before = group.in_use.len();
-                group.wanted = (before as f64 * (1.0 + GROWTH_FRACTION)).ceil().max(group.wanted) + 1.0;
+                group.wanted = (before as f64 * (1.0 + GROUP_GROWTH_FRACTION))
+                    .ceil()
+                    .max(group.wanted)
+                    + 1.0;
                 self.refill(index);
                 grown |= self.working_set.groups[index].in_use.len() > before;
             }
--- a/crates/core/src/routing/pool/working_set/load.rs
+++ b/crates/core/src/routing/pool/working_set/load.rs
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Whether there is no state of this engine: nothing was sent to it and nothing received about it.
+    /// Whether nothing was sent to this engine and nothing was received from it or about it.
     pub(super) fn has_no_state(&self) -> bool {
         self.in_flight.is_empty()
             && self.peers.is_empty()
--- a/crates/core/src/routing/pool/working_set/members.rs
+++ b/crates/core/src/routing/pool/working_set/members.rs
@@ -11,13 +11,13 @@
 
 /// Interval at which the wanted numbers of engines are updated from the load. Shorter than the time that callers wait
 /// for a first event.
-const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
+const WORKING_SET_UPDATE_INTERVAL: Duration = Duration::from_millis(100);
 
 impl PoolRouter {
     /// Handles a new or changed list entry of an engine; earlier starts of the same name are marked as replaced.
     ///
-    /// The engine's own drain signal takes precedence over its entry, which may be written late or come from a peer that
-    /// lags behind.
+    /// The engine's own drain signal takes precedence over its entry, which may be written late or come from a peer
+    /// that lags behind.
     pub fn on_engine_listed(&mut self, mut engine: PoolEngine) {
         let start = engine.id.start();
         for state in self.starts_of(engine.id.as_str()) {
@@ -67,7 +67,7 @@
     /// them to the reserve.
     pub fn update_working_set(&mut self, now: MonotonicTime) {
         let since = self.working_set.last_updated_at.map(|at| now.since(at));
-        if since.is_some_and(|since| since < UPDATE_INTERVAL) {
+        if since.is_some_and(|since| since < WORKING_SET_UPDATE_INTERVAL) {
             return;
         }
         self.working_set.last_updated_at = Some(now);
--- a/crates/core/tests/engine_pace.rs
+++ b/crates/core/tests/engine_pace.rs
@@ -1,4 +1,4 @@
-//! Estimates of the lasting and momentary pace of an engine.
+//! Estimates of the long-term and momentary pace of an engine.
 
 #![allow(clippy::unwrap_used)]
 
@@ -7,9 +7,9 @@
 use pool_support::{engine_with, pool, router_with};
 use shelfjunction_core::identity::{EngineId, ZoneId};
 use shelfjunction_core::routing::pool::{
-    EnginePaceUse, EngineStage, KvCacheSource, LastingPace, LastingPaceReport, PacePersistence, PaceReports,
-    PoolQuery, PoolRoute, PoolRouter, PoolWeights, PrefixBlock, PromptPart, PromptShape, ReportedLoad,
-    ReportedPace, RequestConstraints,
+    EnginePaceUse, EngineStage, KvCacheSource, LongTermPace, LongTermPaceReport, PacePersistence,
+    PaceReports, PoolQuery, PoolRoute, PoolRouter, PoolWeights, PrefixBlock, PromptPart, PromptShape,
+    ReportedLoad, ReportedPace, RequestConstraints,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -196,11 +196,11 @@
 }
 
 #[test]
-fn a_momentary_slowdown_does_not_affect_the_lasting_pace() {
+fn a_momentary_slowdown_does_not_affect_the_long_term_pace() {
     let mut router = router(EnginePaceUse::WhereReported);
     for round in 0..200 {
         let now = NOW + millis(2_000 * round);
-        // The machines are slow in turn and report it; the engines have the same lasting pace.
+        // The machines are slow in turn and report it; the engines have the same long-term pace.
         for (engine, slow) in [("d1", round % 3 == 0), ("d2", round % 3 == 1)] {
             let percent = if slow { 300 } else { 100 };
             let took = if slow { 1_200 } else { 400 };
@@ -219,41 +219,41 @@
         }
     }
     for engine in ["d1", "d2"] {
-        let lasting = router
+        let long_term = router
             .engine(&EngineId::new(engine))
             .unwrap()
             .pace()
-            .lasting
+            .long_term
             .factor();
-        assert!((0.85..1.18).contains(&lasting), "{lasting}");
+        assert!((0.85..1.18).contains(&long_term), "{long_term}");
     }
 }
 
 #[test]
-fn the_lasting_pace_adapts_quickly_to_a_permanent_change() {
-    let mut lasting = LastingPace::default();
+fn the_long_term_pace_adapts_quickly_to_a_permanent_change() {
+    let mut long_term = LongTermPace::default();
     for _ in 0..100 {
-        lasting.observe(1.0, 1.0);
+        long_term.observe(1.0, 1.0);
     }
     for _ in 0..8 {
-        lasting.observe(3.0, 1.0);
+        long_term.observe(3.0, 1.0);
     }
-    assert!(lasting.factor() > 2.0, "{}", lasting.factor());
+    assert!(long_term.factor() > 2.0, "{}", long_term.factor());
     for invalid in [0.0, -1.0, f64::NAN, f64::INFINITY] {
-        let before = lasting;
-        lasting.observe(invalid, 1.0);
-        assert_eq!(lasting, before);
+        let before = long_term;
+        long_term.observe(invalid, 1.0);
+        assert_eq!(long_term, before);
     }
 }
 
 #[test]
-fn an_outlier_has_little_effect_on_the_lasting_pace() {
-    let mut lasting = LastingPace::default();
+fn an_outlier_has_little_effect_on_the_long_term_pace() {
+    let mut long_term = LongTermPace::default();
     for _ in 0..50 {
-        lasting.observe(1.0, 1.0);
+        long_term.observe(1.0, 1.0);
     }
-    lasting.observe(20.0, 1.0);
-    assert!(lasting.factor() < 1.1, "{}", lasting.factor());
+    long_term.observe(20.0, 1.0);
+    assert!(long_term.factor() < 1.1, "{}", long_term.factor());
 }
 
 #[test]
@@ -303,7 +303,7 @@
             percent: 100,
             age_millis: 500,
         }],
-        lasting: vec![LastingPaceReport {
+        lasting: vec![LongTermPaceReport {
             engine: handle,
             thousandths: 0,
             weight: 0,
--- a/crates/core/tests/engine_troubles.rs
+++ b/crates/core/tests/engine_troubles.rs
@@ -13,7 +13,7 @@
 use shelfjunction_core::routing::health::Health;
 use shelfjunction_core::routing::pool::{
     EngineStage, KvCacheSource, PoolEngine, PoolQuery, PoolRoute, PoolRouter, PoolWeights, PrefixBlock,
-    PrefixUpdate, PromptPart, PromptShape, RequestConstraints, SilenceReport,
+    PrefixUpdate, PromptPart, PromptShape, RequestConstraints, UnansweredRequestReport,
 };
 use shelfjunction_core::time::MonotonicTime;
 use std::time::Duration;
@@ -91,7 +91,7 @@
 fn become_unresponsive(router: &mut PoolRouter, id: &str, now: MonotonicTime) {
     let request = TestRequest::new(false);
     let ticket = router.on_output_sent(&EngineId::new(id), &request.query(0), KvCacheSource::Prefill, now);
-    router.on_silence(&ticket, now);
+    router.on_unanswered_request(&ticket, now);
 }
 
 fn answer(router: &mut PoolRouter, id: &str, now: MonotonicTime) {
@@ -155,8 +155,8 @@
         assert!(broken.is_backing_off(millis_later(50)));
     }
 
-    fn silence_report(engine: &str, sent_before_millis: u32) -> SilenceReport {
-        SilenceReport {
+    fn unanswered_request_report(engine: &str, sent_before_millis: u32) -> UnansweredRequestReport {
+        UnansweredRequestReport {
             engine: SubjectHandle::of_engine(&EngineId::new(engine)),
             from: ZoneId::new("zone-a"),
             sent_before_millis,
@@ -168,17 +168,29 @@
         let mut router = router(&[engine("d1"), engine("d2")]);
         let request = TestRequest::new(false);
         answer(&mut router, "d1", millis_later(100));
-        router.on_peer_silence_reports(&[silence_report("d1", 250)], true, millis_later(300));
+        router.on_unanswered_request_reports(
+            &[unanswered_request_report("d1", 250)],
+            true,
+            millis_later(300),
+        );
         assert!(
             requests_sent_to(&router, &request, "d1", millis_later(310)) > 0,
             "the engine has answered since"
         );
-        router.on_peer_silence_reports(&[silence_report("d1", 250)], false, millis_later(700));
+        router.on_unanswered_request_reports(
+            &[unanswered_request_report("d1", 250)],
+            false,
+            millis_later(700),
+        );
         assert!(
             requests_sent_to(&router, &request, "d1", millis_later(710)) > 0,
             "nodes of small fleets ignore the report"
         );
-        router.on_peer_silence_reports(&[silence_report("d1", 250)], true, millis_later(700));
+        router.on_unanswered_request_reports(
+            &[unanswered_request_report("d1", 250)],
+            true,
+            millis_later(700),
+        );
         assert_eq!(requests_sent_to(&router, &request, "d1", millis_later(710)), 0);
         let news = PrefixUpdate {
             engine: SubjectHandle::of_engine(&EngineId::new("d1")),
@@ -201,18 +213,22 @@
         let request = TestRequest::new(false);
         let id = EngineId::new("d1");
         let ticket = router.on_output_sent(&id, &request.query(0), KvCacheSource::Prefill, NOW);
-        router.on_silence(&ticket, millis_later(250));
+        router.on_unanswered_request(&ticket, millis_later(250));
         assert_eq!(
-            router.take_silence_reports(8, millis_later(270)),
-            [silence_report("d1", 270)]
+            router.take_unanswered_request_reports(8, millis_later(270)),
+            [unanswered_request_report("d1", 270)]
+        );
+        assert!(
+            router
+                .take_unanswered_request_reports(8, millis_later(270))
+                .is_empty()
         );
-        assert!(router.take_silence_reports(8, millis_later(270)).is_empty());
     }
 
     #[test]
     fn a_report_about_an_unknown_engine_changes_nothing() {
         let mut router = router(&[engine("d1")]);
-        router.on_peer_silence_reports(&[silence_report("d9", 250)], true, NOW);
+        router.on_unanswered_request_reports(&[unanswered_request_report("d9", 250)], true, NOW);
         assert!(router.take_path_changes().is_empty());
     }
 }
--- a/crates/core/tests/engines_in_use.rs
+++ b/crates/core/tests/engines_in_use.rs
@@ -101,7 +101,7 @@
         ],
     };
     assert_eq!(update.apply_to(&mut listing), [ListChange::Listed(leaving("a"))]);
-    assert_eq!(listing.reflected_version(), 22);
+    assert_eq!(listing.applied_version(), 22);
 }
 
 #[test]
@@ -252,7 +252,7 @@
     }
 
     fn read_changes(&mut self, store: &Store) {
-        let after = self.listing.reflected_version();
+        let after = self.listing.applied_version();
         let base = self.listing.last_change_version();
         let changes: Vec<_> = store
             .writes
@@ -308,16 +308,16 @@
                     node.replace(&placers[placer].listing.snapshot());
                 }
             }
-            let expected = store.at(node.reflected_version());
+            let expected = store.at(node.applied_version());
             for listed in node.snapshot().engines {
                 prop_assert!(
                     expected.engines.contains(&listed),
                     "{:?} at version {}",
                     listed,
-                    node.reflected_version()
+                    node.applied_version()
                 );
             }
-            if !node.is_partial() && node.reflected_version() > 0 {
+            if !node.is_partial() && node.applied_version() > 0 {
                 prop_assert_eq!(node.snapshot().engines, expected.engines);
             }
         }
--- a/crates/core/tests/forwarding.rs
+++ b/crates/core/tests/forwarding.rs
@@ -206,7 +206,7 @@
     assert!(listing.replace(&stale_read).is_empty());
     assert!(listing.is_listed(&EngineId::new("one")) && !listing.is_listed(&EngineId::new("two")));
     assert_eq!(
-        (listing.last_change_version(), listing.reflected_version()),
+        (listing.last_change_version(), listing.applied_version()),
         (13, 13)
     );
 }
--- a/crates/core/tests/list_news.rs
+++ b/crates/core/tests/list_news.rs
@@ -52,7 +52,7 @@
     let mut peer = listing_at_version(11);
     let applied = recent.publishable(6, at(50)).apply_to(&mut peer);
     assert_eq!(applied.len(), 2);
-    assert_eq!(peer.reflected_version(), 13);
+    assert_eq!(peer.applied_version(), 13);
     assert!(
         recent.publishable(6, at(60)).apply_to(&mut peer).is_empty(),
         "an update is applied only once"
@@ -71,7 +71,7 @@
     let mut peer = listing_at_version(9);
     assert!(recent.publishable(6, at(50)).apply_to(&mut peer).is_empty());
     assert_eq!(
-        peer.reflected_version(),
+        peer.applied_version(),
         9,
         "the list must not skip the missing version"
     );
@@ -147,7 +147,7 @@
     let mut peer = listing_at_version(10);
     let applied = recent.publishable(6, at(50)).apply_to(&mut peer);
     assert_eq!(applied.len(), 1, "nothing changed between 10 and 5,000");
-    assert_eq!(peer.reflected_version(), 5_002);
+    assert_eq!(peer.applied_version(), 5_002);
 }
 
 #[test]
--- a/crates/core/tests/pace_world/mod.rs
+++ b/crates/core/tests/pace_world/mod.rs
@@ -338,8 +338,8 @@
         let router = &self.routers[0];
         let log_errors: Vec<f64> = router
             .engines()
-            .filter(|state| state.pace().lasting.weight() >= 8.0)
-            .map(|state| (state.pace().lasting.factor() / self.engines[&state.engine.id].lasting).ln())
+            .filter(|state| state.pace().long_term.weight() >= 8.0)
+            .map(|state| (state.pace().long_term.factor() / self.engines[&state.engine.id].lasting).ln())
             .collect();
         let mean = log_errors.iter().sum::<f64>() / log_errors.len().max(1) as f64;
         let max_error = log_errors
--- a/crates/core/tests/path_world/mod.rs
+++ b/crates/core/tests/path_world/mod.rs
@@ -74,7 +74,7 @@
     Place,
     TimedOut,
     Answered,
-    /// Placers exchange silence reports.
+    /// Placers exchange reports of unanswered requests.
     ExchangeReports,
 }
 
@@ -83,10 +83,10 @@
     nodes: u32,
     engines: BTreeMap<SubjectHandle, (u64, PoolEngine)>,
     placers: Vec<Placer>,
-    /// Whether nodes report timeouts to the placers as silences, or as failed connections.
-    pub reports_silences: bool,
-    /// Whether placers share silences with each other.
-    pub shares_silences: bool,
+    /// Whether nodes report timeouts to the placers as unanswered requests, or as failed connections.
+    pub reports_timeouts: bool,
+    /// Whether placers share timeouts with each other.
+    pub shares_timeouts: bool,
 }
 
 impl Fleet {
@@ -105,8 +105,8 @@
         };
         Self {
             nodes,
-            reports_silences: true,
-            shares_silences: true,
+            reports_timeouts: true,
+            shares_timeouts: true,
             placers: (0..placers).map(placer).collect(),
             engines: engines
                 .iter()
@@ -138,7 +138,7 @@
                 self.exchange_reports(at, outage);
                 continue;
             }
-            if step == Step::TimedOut && self.shares_silences {
+            if step == Step::TimedOut && self.shares_timeouts {
                 events.push(Reverse((at + REPORT_DELAY_MILLIS, index, Step::ExchangeReports)));
             }
             if let Some((next_at, next)) = self.advance(&mut requests[index], step, at, outage) {
@@ -185,7 +185,7 @@
             Step::Place => self.place(request, at, outage),
             Step::TimedOut => {
                 request.outcome.timeouts += 1;
-                let progress = if self.reports_silences {
+                let progress = if self.reports_timeouts {
                     DispatchProgress::Unresponsive
                 } else {
                     DispatchProgress::ConnectionFailed
@@ -241,16 +241,18 @@
         }
     }
 
-    /// Delivers the silence reports of each placer to the placers that it reaches.
+    /// Delivers the reports of unanswered requests of each placer to the placers that it reaches.
     fn exchange_reports(&mut self, at: u64, outage: &Outage) {
         let now = MonotonicTime::from_millis(at);
         for sender in 0..self.placers.len() {
-            let reports = self.placers[sender].router.take_silence_reports(usize::MAX, now);
+            let reports = self.placers[sender]
+                .router
+                .take_unanswered_request_reports(usize::MAX, now);
             let from = ZoneId::new(ZONES[sender % ZONES.len()]);
             for (receiver, placer) in self.placers.iter_mut().enumerate() {
                 let to = ZoneId::new(ZONES[receiver % ZONES.len()]);
                 if receiver != sender && outage.reaches(&from, &to, 1, at) {
-                    placer.router.on_peer_silence_reports(&reports, true, now);
+                    placer.router.on_unanswered_request_reports(&reports, true, now);
                     placer.path_changes += placer.router.take_path_changes().len();
                 }
             }
--- a/crates/core/tests/paths.rs
+++ b/crates/core/tests/paths.rs
@@ -43,9 +43,9 @@
         }
     }
 
-    fn record_silence(&mut self, number: u64, sent_at: MonotonicTime, now: MonotonicTime) {
+    fn record_unanswered_request(&mut self, number: u64, sent_at: MonotonicTime, now: MonotonicTime) {
         self.paths
-            .record_silence(&self.a, &self.b, engine(number), 20, sent_at, now);
+            .record_unanswered_request(&self.a, &self.b, engine(number), 20, sent_at, now);
     }
 
     fn admits(&self, now: MonotonicTime) -> bool {
@@ -54,7 +54,7 @@
 
     fn suspect(&mut self) {
         for number in 0..3 {
-            self.record_silence(number, NOW, after(250));
+            self.record_unanswered_request(number, NOW, after(250));
         }
     }
 
@@ -70,14 +70,14 @@
     #[test]
     fn three_silent_engines_without_an_answer_make_a_path_suspected_in_both_directions() {
         let mut fixture = PathFixture::new();
-        fixture.record_silence(1, NOW, after(250));
-        fixture.record_silence(1, after(10), after(260));
-        fixture.record_silence(2, after(20), after(270));
+        fixture.record_unanswered_request(1, NOW, after(250));
+        fixture.record_unanswered_request(1, after(10), after(260));
+        fixture.record_unanswered_request(2, after(20), after(270));
         assert!(
             fixture.admits(after(270)),
-            "two silences of one engine count once"
+            "two unanswered requests to one engine count once"
         );
-        fixture.record_silence(3, after(30), after(280));
+        fixture.record_unanswered_request(3, after(30), after(280));
         assert!(!fixture.admits(after(280)));
         assert!(!fixture.paths.admits(&fixture.b, &fixture.a, 7, true, after(280)));
         assert!(!fixture.paths.allows_transfer(&fixture.b, &fixture.a));
@@ -93,7 +93,7 @@
             fixture
                 .paths
                 .record_answer(&fixture.a, &fixture.b, sent + Duration::from_millis(50));
-            fixture.record_silence(number, sent, sent + Duration::from_millis(250));
+            fixture.record_unanswered_request(number, sent, sent + Duration::from_millis(250));
             assert!(fixture.admits(sent + Duration::from_millis(250)));
         }
         assert!(fixture.states().is_empty());
@@ -105,18 +105,18 @@
             let mut paths = Paths::default();
             let (a, b) = (zone("a"), zone("b"));
             for number in 0..engines {
-                paths.record_silence(&a, &b, engine(number), engines as usize, NOW, after(250));
+                paths.record_unanswered_request(&a, &b, engine(number), engines as usize, NOW, after(250));
             }
             assert_eq!(paths.admits(&a, &b, 7, true, after(250)), expected, "{engines}");
         }
     }
 
     #[test]
-    fn silences_outside_the_window_do_not_add_up() {
+    fn unanswered_requests_outside_the_window_do_not_add_up() {
         let mut fixture = PathFixture::new();
         for number in 0..5 {
             let sent = after(number * 1_500);
-            fixture.record_silence(number, sent, sent + Duration::from_millis(250));
+            fixture.record_unanswered_request(number, sent, sent + Duration::from_millis(250));
         }
         assert!(fixture.admits(after(8_000)));
     }
@@ -126,7 +126,7 @@
         let mut paths = Paths::default();
         let a = zone("a");
         for number in 0..9 {
-            paths.record_silence(&a, &a, engine(number), 20, NOW, after(250));
+            paths.record_unanswered_request(&a, &a, engine(number), 20, NOW, after(250));
         }
         assert!(paths.admits(&a, &a, 7, true, after(250)));
     }
@@ -195,9 +195,9 @@
         let mut fixture = PathFixture::new();
         fixture.suspect();
         fixture.paths.record_answer(&fixture.a, &fixture.b, after(1_000));
-        fixture.record_silence(1, after(1_010), after(1_260));
+        fixture.record_unanswered_request(1, after(1_010), after(1_260));
         assert!(fixture.paths.allows_transfer(&fixture.a, &fixture.b));
-        fixture.record_silence(2, after(1_020), after(1_270));
+        fixture.record_unanswered_request(2, after(1_020), after(1_270));
         assert!(!fixture.paths.allows_transfer(&fixture.a, &fixture.b));
     }
 
@@ -233,13 +233,13 @@
         arrived.filter(|outcome| outcome.timeouts > 0).count()
     }
 
-    /// Simulates an isolated zone three times: with placers that share silences, with placers that don't, and with
-    /// silences reported as connection failures, which only affect single engines.
+    /// Simulates an isolated zone three times: with placers that share timeouts, with placers that don't, and with
+    /// timeouts reported as connection failures, which only affect single engines.
     fn check_isolated_zone(nodes: u32, engines: u32, per_second: u32) {
-        let simulate = |reports_silences, shares_silences| {
+        let simulate = |reports_timeouts, shares_timeouts| {
             let mut fleet = Fleet::new(nodes, engines, 8);
-            fleet.reports_silences = reports_silences;
-            fleet.shares_silences = shares_silences;
+            fleet.reports_timeouts = reports_timeouts;
+            fleet.shares_timeouts = shares_timeouts;
             fleet.simulate(per_second, 11_000, &isolated_zone())
         };
         let (outcomes, unshared, baseline) = (
@@ -303,14 +303,14 @@
             from: OUTAGE_STARTS_AT,
             until: OUTAGE_ENDS_AT,
         };
-        let simulate = |shares_silences| {
+        let simulate = |shares_timeouts| {
             let mut fleet = Fleet::new(66, 90, 8);
-            fleet.shares_silences = shares_silences;
+            fleet.shares_timeouts = shares_timeouts;
             let outcomes = fleet.simulate(400, 9_000, &outage);
             assert_eq!(
                 fleet.path_changes(),
                 0,
-                "placers share silences: {shares_silences}"
+                "placers share timeouts: {shares_timeouts}"
             );
             timed_out(&outcomes, OUTAGE_STARTS_AT, OUTAGE_ENDS_AT)
         };
@@ -402,7 +402,7 @@
         for engine in ["p-b", "d-b", "d-b2"] {
             let id = EngineId::new(engine);
             let ticket = router.on_output_sent(&id, &request.query(), KvCacheSource::Prefill, NOW);
-            router.on_silence(&ticket, after(250));
+            router.on_unanswered_request(&ticket, after(250));
         }
     }
 
@@ -448,7 +448,7 @@
         let request = TestRequest::new();
         for engine in &engines {
             let ticket = router.on_output_sent(&engine.id, &request.query(), KvCacheSource::Prefill, NOW);
-            router.on_silence(&ticket, after(250));
+            router.on_unanswered_request(&ticket, after(250));
         }
         assert!(
             router
--- a/crates/node/src/belief_log.rs
+++ b/crates/node/src/belief_log.rs
@@ -14,7 +14,7 @@
         (
             router.take_path_changes(),
             engines,
-            router.has_pending_silence_reports(),
+            router.has_pending_unanswered_requests(),
         )
     };
     engines.iter().for_each(|change| tell_engine(context, change));
@@ -28,7 +28,7 @@
             one = change.zone.as_str(),
             other = change.other_zone.as_ref().map_or("all", |zone| zone.as_str()),
             belief,
-            silent_engines = change.silent_engines,
+            silent_engines = change.unresponsive_engines,
             after_millis = change.elapsed.as_millis() as u64;
             "path_belief_changed"
         );
--- a/crates/node/src/course/accounting.rs
+++ b/crates/node/src/course/accounting.rs
@@ -163,7 +163,7 @@
     pub(super) fn count_silent(&self, account: &Account) {
         match account {
             Account::Own(ticket) => {
-                lock(&self.context.router).on_silence(ticket, self.context.now());
+                lock(&self.context.router).on_unanswered_request(ticket, self.context.now());
                 belief_log::tell_changes(self.context);
             }
             Account::Placer { at, .. } => placing::tell(self.context, at, DispatchProgress::Unresponsive),
--- a/crates/node/src/operator_page.rs
+++ b/crates/node/src/operator_page.rs
@@ -178,7 +178,7 @@
         }
         metrics
             .list_version
-            .set(lock(&context.listing).reflected_version() as i64);
+            .set(lock(&context.listing).applied_version() as i64);
         metrics
             .kept_for_callers
             .set(context.kept_for_callers.bytes() as i64);
--- a/crates/node/src/pace_metrics.rs
+++ b/crates/node/src/pace_metrics.rs
@@ -8,8 +8,8 @@
 /// Gauges of how far the paces of engines lie apart; zero where they don't decide.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PaceMetrics {
-    min_lasting: Gauge<f64, AtomicU64>,
-    max_lasting: Gauge<f64, AtomicU64>,
+    min_long_term: Gauge<f64, AtomicU64>,
+    max_long_term: Gauge<f64, AtomicU64>,
     max_momentary: Gauge<f64, AtomicU64>,
     engines_with_current_pace: Gauge,
     persistence_seconds: Gauge<f64, AtomicU64>,
@@ -21,12 +21,12 @@
             (
                 "engine_lasting_factor_least",
                 "Least lasting factor by which work takes longer at an engine than is usual",
-                &self.min_lasting,
+                &self.min_long_term,
             ),
             (
                 "engine_lasting_factor_most",
                 "Greatest lasting factor by which work takes longer at an engine than is usual",
-                &self.max_lasting,
+                &self.max_long_term,
             ),
             (
                 "engine_momentary_factor_most",
@@ -50,8 +50,8 @@
     }
 
     pub(crate) fn note(&self, spread: &PaceSpread) {
-        self.min_lasting.set(spread.min_lasting);
-        self.max_lasting.set(spread.max_lasting);
+        self.min_long_term.set(spread.min_long_term);
+        self.max_long_term.set(spread.max_long_term);
         self.max_momentary.set(spread.max_momentary);
         self.engines_with_current_pace
             .set(spread.engines_with_current_pace as i64);
--- a/crates/node/src/peers/catching_up.rs
+++ b/crates/node/src/peers/catching_up.rs
@@ -68,7 +68,7 @@
 
 fn lacks(context: &Context, behind: &Behind) -> Wanted {
     let config_version = context.forwarding().map_or(0, |config| config.version);
-    let reflected = lock(&context.listing).reflected_version();
+    let reflected = lock(&context.listing).applied_version();
     let cordons = cordons::version(context);
     Wanted {
         config: config_version < behind.config_version,
--- a/crates/node/src/peers/receiving.rs
+++ b/crates/node/src/peers/receiving.rs
@@ -108,7 +108,7 @@
     take_list_news(context, message.list_news, from);
     let config_version = context.forwarding().map_or(0, |config| config.version);
     context.config_watch.on_word(message.config, config_version, now);
-    let list_version = lock(&context.listing).reflected_version();
+    let list_version = lock(&context.listing).applied_version();
     context.list_watch.on_word(message.list, list_version, now);
     let versions = Behind {
         peer: from,
@@ -124,7 +124,7 @@
     router.on_pace_reports(&message.paces, now);
     router.on_peer_demand(&message.node, message.prompt_tokens_per_second, now);
     router.on_stage_orders(&message.orders, now);
-    router.on_peer_silence_reports(&message.silences, in_large_fleet, now);
+    router.on_unanswered_request_reports(&message.silences, in_large_fleet, now);
     drop(router);
     if !message.silences.is_empty() || !message.news.is_empty() {
         belief_log::tell_changes(context);
--- a/crates/node/src/peers/sending.rs
+++ b/crates/node/src/peers/sending.rs
@@ -167,7 +167,7 @@
             Placing::Placers(_) => {
                 self.tells_again = OTHERS_TELL_AGAIN;
                 // The placers learn of silent engines from the requests that they placed.
-                lock(&self.context.router).take_silence_reports(usize::MAX, now);
+                lock(&self.context.router).take_unanswered_request_reports(usize::MAX, now);
                 self.tell_placers(confirmed, now)
             }
         }
@@ -198,7 +198,7 @@
             {
                 let mut router = lock(&self.context.router);
                 message.news = router.take_prefix_updates(MOST_NEWS);
-                message.silences = router.take_silence_reports(MOST_SILENCES, now);
+                message.silences = router.take_unanswered_request_reports(MOST_SILENCES, now);
             }
             message.paces = self.pace_words(now);
             self.told_slices.insert(slice, (works, now));
--- a/crates/protocol/src/node_words.rs
+++ b/crates/protocol/src/node_words.rs
@@ -14,7 +14,7 @@
 use shelfjunction_core::quarantine::word::{SuspectWord, TrialWord};
 use shelfjunction_core::retry::census::SharingWord;
 use shelfjunction_core::routing::pool::{
-    EngineStage, ListUpdate, PaceReports, PeerLoad, PeerLoadSlice, PrefixUpdate, SilenceReport,
+    EngineStage, ListUpdate, PaceReports, PeerLoad, PeerLoadSlice, PrefixUpdate, UnansweredRequestReport,
 };
 use shelfjunction_core::sharing::UseWord;
 use shelfjunction_core::watching::TableWord;
@@ -91,7 +91,7 @@
     /// Shared prefixes that engines have come to hold since the last message.
     pub news: Vec<PrefixUpdate>,
     /// Engines that fell silent towards nodes that the sender chooses for, since the last message.
-    pub silences: Vec<SilenceReport>,
+    pub silences: Vec<UnansweredRequestReport>,
     /// Paces of engines.
     pub paces: PaceReports,
 }
