--- a/crates/core/src/routing/pool/silences.rs
+++ b/crates/core/src/routing/pool/silences.rs
@@ -69,7 +69,7 @@
     }
 
     /// Applies another placer's reports of unanswered requests. If `avoids_engines`, an engine is avoided for a while
-    /// if it has not answered this node since the reported request was sent, unless the path to its zone is suspected.
+    /// if it has answered no node since the reported request was sent, unless the path to its zone is suspected.
     pub fn on_unanswered_request_reports(
         &mut self,
         reports: &[UnansweredRequestReport],
