--- a/crates/core/src/rate_limit/belief.rs
+++ b/crates/core/src/rate_limit/belief.rs
@@ -55,7 +55,7 @@
     }
 
     /// Updates the estimate from the response to a request sent at `sent_at`.
-    pub fn on_answer(
+    pub fn on_response(
         &mut self,
         response: &ResponseLimit,
         sent_at: MonotonicTime,
--- a/crates/core/src/routing/pool/limits.rs
+++ b/crates/core/src/routing/pool/limits.rs
@@ -75,7 +75,7 @@
     ) -> LimitChange {
         let state = self.engines.get_mut(engine);
         state.map_or(LimitChange::Unchanged, |state| {
-            state.limit.on_answer(response_limit, sent_at, now)
+            state.limit.on_response(response_limit, sent_at, now)
         })
     }
 
--- a/crates/core/tests/rate_limit_belief.rs
+++ b/crates/core/tests/rate_limit_belief.rs
@@ -18,44 +18,56 @@
 fn a_limit_holds_until_an_answer_to_a_later_request_names_none() {
     let mut estimate = LimitEstimate::default();
     let absent = ResponseLimit::Absent;
-    assert_eq!(estimate.on_answer(&absent, at(0), at(10)), LimitChange::Unchanged);
+    assert_eq!(
+        estimate.on_response(&absent, at(0), at(10)),
+        LimitChange::Unchanged
+    );
     assert_eq!(
         estimate.advertised(at(10)),
         None,
         "engines without a limit need no notice"
     );
     assert_eq!(
-        estimate.on_answer(&valid(2.0), at(20), at(30)),
+        estimate.on_response(&valid(2.0), at(20), at(30)),
         LimitChange::Changed
     );
     // Sent before the limit was received: the engine may have had none yet.
     assert_eq!(
-        estimate.on_answer(&absent, at(25), at(40)),
+        estimate.on_response(&absent, at(25), at(40)),
         LimitChange::Unchanged
     );
     assert_eq!(estimate.limit(), RateLimit::new(2.0));
     assert_eq!(
-        estimate.on_answer(&valid(1.5), at(50), at(60)),
+        estimate.on_response(&valid(1.5), at(50), at(60)),
         LimitChange::Changed
     );
     assert_eq!(estimate.limit(), RateLimit::new(1.5));
-    assert_eq!(estimate.on_answer(&absent, at(61), at(70)), LimitChange::Changed);
+    assert_eq!(
+        estimate.on_response(&absent, at(61), at(70)),
+        LimitChange::Changed
+    );
     assert_eq!(estimate.limit(), None);
 }
 
 #[test]
 fn an_invalid_rate_changes_nothing_and_is_reported_once() {
     let mut estimate = LimitEstimate::default();
-    estimate.on_answer(&valid(2.0), at(20), at(30));
+    estimate.on_response(&valid(2.0), at(20), at(30));
     let invalid = ResponseLimit::Invalid("soon".to_owned());
-    assert_eq!(estimate.on_answer(&invalid, at(40), at(50)), LimitChange::Invalid);
     assert_eq!(
-        estimate.on_answer(&invalid, at(60), at(70)),
+        estimate.on_response(&invalid, at(40), at(50)),
+        LimitChange::Invalid
+    );
+    assert_eq!(
+        estimate.on_response(&invalid, at(60), at(70)),
         LimitChange::Unchanged
     );
     assert_eq!(estimate.limit(), RateLimit::new(2.0));
-    estimate.on_answer(&valid(2.0), at(80), at(90));
-    assert_eq!(estimate.on_answer(&invalid, at(95), at(99)), LimitChange::Invalid);
+    estimate.on_response(&valid(2.0), at(80), at(90));
+    assert_eq!(
+        estimate.on_response(&invalid, at(95), at(99)),
+        LimitChange::Invalid
+    );
 }
 
 #[test]
