--- a/crates/core/src/routing/pool/admission.rs
+++ b/crates/core/src/routing/pool/admission.rs
@@ -242,7 +242,7 @@
     fn defer_or_refuse(
         &self,
         decision: &mut AdmissionDecision,
-        excess: f64,
+        excess_seconds: f64,
         query: &PoolQuery<'_>,
         timing: RequestTiming,
         settings: &PoolAdmission,
@@ -271,7 +271,7 @@
             }
         }
         let jitter = 1.0 + unit_interval(query.draw);
-        let until_capacity = excess.max(decision.standing.seconds_beyond(&settings.sharing));
+        let until_capacity = excess_seconds.max(decision.standing.seconds_beyond(&settings.sharing));
         let retry_after = Duration::from_secs_f64(until_capacity * jitter).clamp(
             Duration::from_millis(settings.least_return_millis),
             Duration::from_millis(settings.most_return_millis),
--- a/crates/core/src/routing/pool/dispatches.rs
+++ b/crates/core/src/routing/pool/dispatches.rs
@@ -261,8 +261,8 @@
         // Excludes requests that were queued at a full engine: their duration includes the queueing time.
         if work.kv_source.is_none() || work.had_free_slot {
             if state.pace.is_enabled {
-                let momentary = (work.momentary_pace + state.pace.momentary_factor(now)) / 2.0;
-                let factor = momentary * state.pace.long_term.factor();
+                let momentary_pace = (work.momentary_pace + state.pace.momentary_factor(now)) / 2.0;
+                let factor = momentary_pace * state.pace.long_term.factor();
                 let fixed = speed.fixed_seconds();
                 speed.observe(work.tokens_until_prefilled * factor, took);
                 let kind = if work.kv_source.is_none() {
@@ -272,9 +272,9 @@
                 };
                 let observation = PaceObservation {
                     kind,
-                    expected: expected - fixed,
-                    took: (took.as_secs_f64() - fixed).max(0.0),
-                    momentary,
+                    expected_seconds: expected - fixed,
+                    measured_seconds: (took.as_secs_f64() - fixed).max(0.0),
+                    momentary_pace,
                 };
                 self.observe_pace(engine, observation, now);
             } else {
--- a/crates/core/src/routing/pool/ended_starts.rs
+++ b/crates/core/src/routing/pool/ended_starts.rs
@@ -13,36 +13,36 @@
 pub(super) struct EndedStarts {
     starts: BTreeMap<String, EngineStart>,
     /// Engine names in order of insertion, oldest first.
-    order: VecDeque<String>,
+    insertion_order: VecDeque<String>,
 }
 
 impl EndedStarts {
     /// Records the end of an engine start; ignores an engine without a known start.
-    pub(super) fn record(&mut self, engine: &EngineId) {
+    pub(super) fn record_end(&mut self, engine: &EngineId) {
         if engine.start() == EngineStart::default() {
             return;
         }
         let name = engine.as_str();
-        let latest = self.latest(name).max(engine.start());
+        let latest = self.latest_start(name).max(engine.start());
         if self.starts.insert(name.to_owned(), latest).is_none() {
-            self.order.push_back(name.to_owned());
+            self.insertion_order.push_back(name.to_owned());
         }
-        if self.order.len() > MAX_ENGINE_NAMES
-            && let Some(oldest) = self.order.pop_front()
+        if self.insertion_order.len() > MAX_ENGINE_NAMES
+            && let Some(oldest) = self.insertion_order.pop_front()
         {
             self.starts.remove(&oldest);
         }
     }
 
     /// Removes a name that is listed again.
-    pub(super) fn forget(&mut self, name: &str) {
+    pub(super) fn remove(&mut self, name: &str) {
         if self.starts.remove(name).is_some() {
-            self.order.retain(|other| other != name);
+            self.insertion_order.retain(|other| other != name);
         }
     }
 
     /// The recorded start of the engine with this name; zero if none is recorded.
-    pub(super) fn latest(&self, name: &str) -> EngineStart {
+    pub(super) fn latest_start(&self, name: &str) -> EngineStart {
         self.starts.get(name).copied().unwrap_or_default()
     }
 }
--- a/crates/core/src/routing/pool/limits.rs
+++ b/crates/core/src/routing/pool/limits.rs
@@ -19,21 +19,22 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SentRate {
     requests: f64,
-    at: MonotonicTime,
+    updated_at: MonotonicTime,
 }
 
 impl SentRate {
     pub(super) fn on_sent(&mut self, now: MonotonicTime) {
-        self.requests = self.requests_now(now) + 1.0;
-        self.at = now;
+        self.requests = self.decayed_requests(now) + 1.0;
+        self.updated_at = now;
     }
 
-    fn requests_now(&self, now: MonotonicTime) -> f64 {
-        self.requests * (-now.since(self.at).as_secs_f64() / REQUEST_RATE_TIME_CONSTANT.as_secs_f64()).exp()
+    fn decayed_requests(&self, now: MonotonicTime) -> f64 {
+        self.requests
+            * (-now.since(self.updated_at).as_secs_f64() / REQUEST_RATE_TIME_CONSTANT.as_secs_f64()).exp()
     }
 
     fn per_second(&self, now: MonotonicTime) -> f64 {
-        self.requests_now(now) / REQUEST_RATE_TIME_CONSTANT.as_secs_f64()
+        self.decayed_requests(now) / REQUEST_RATE_TIME_CONSTANT.as_secs_f64()
     }
 }
 
--- a/crates/core/src/routing/pool/listing.rs
+++ b/crates/core/src/routing/pool/listing.rs
@@ -96,7 +96,7 @@
         }
         let was_complete = self.applied_version > 0 && !self.partial;
         let applied: Vec<ListChange> = self
-            .changes_towards(snapshot)
+            .changes_to_reach(snapshot)
             .into_iter()
             .flat_map(|change| self.apply_change(change))
             .collect();
@@ -134,7 +134,7 @@
         }
         self.known_changes.extend(changes, self.applied_version);
         self.applied_version = snapshot.version;
-        let mut applied = self.drop_absent(snapshot);
+        let mut applied = self.drop_absent_engines(snapshot);
         let engines = snapshot.engines.iter().cloned();
         applied.extend(engines.flat_map(|engine| self.apply_listed(engine)));
         if !applied.is_empty() {
@@ -144,7 +144,7 @@
     }
 
     /// Drops the engines that are not in the snapshot. They may still run, so their starts are not recorded as ended.
-    fn drop_absent(&mut self, snapshot: &ListSnapshot) -> Vec<ListChange> {
+    fn drop_absent_engines(&mut self, snapshot: &ListSnapshot) -> Vec<ListChange> {
         let named: BTreeSet<&str> = snapshot.engines.iter().map(|engine| engine.id.as_str()).collect();
         let (kept, dropped) = std::mem::take(&mut self.engines)
             .into_iter()
@@ -182,7 +182,7 @@
     }
 
     /// Changes that turn the current list into the snapshot.
-    fn changes_towards(&self, snapshot: &ListSnapshot) -> Vec<ListChange> {
+    fn changes_to_reach(&self, snapshot: &ListSnapshot) -> Vec<ListChange> {
         let named: BTreeSet<&str> = snapshot
             .engines
             .iter()
@@ -247,7 +247,9 @@
     /// The latest known start of this name, listed or ended; zero if none is known.
     pub fn latest_start(&self, name: &str) -> EngineStart {
         let listed = self.engines.get(name).map(|engine| engine.id.start());
-        listed.unwrap_or_default().max(self.ended_starts.latest(name))
+        listed
+            .unwrap_or_default()
+            .max(self.ended_starts.latest_start(name))
     }
 
     /// Applies one change. Returns the resulting changes, none if the list stays as it is.
@@ -265,7 +267,7 @@
             return Vec::new();
         }
         self.unreadable.remove(name);
-        self.ended_starts.forget(name);
+        self.ended_starts.remove(name);
         let before = self.engines.insert(name.to_owned(), engine.clone());
         match before {
             Some(before) if before == engine => Vec::new(),
@@ -283,7 +285,7 @@
             return Vec::new();
         }
         self.unreadable.remove(name);
-        self.ended_starts.record(engine);
+        self.ended_starts.record_end(engine);
         self.remove_listed(name)
             .map(ListChange::Gone)
             .into_iter()
@@ -304,7 +306,7 @@
     /// Removes whichever start of this name is listed and records it as ended.
     fn remove_listed(&mut self, name: &str) -> Option<EngineId> {
         let listed = self.engines.remove(name)?;
-        self.ended_starts.record(&listed.id);
+        self.ended_starts.record_end(&listed.id);
         Some(listed.id)
     }
 }
--- a/crates/core/src/routing/pool/pace/lasting.rs
+++ b/crates/core/src/routing/pool/pace/lasting.rs
@@ -3,14 +3,14 @@
 /// Factor by which the weight of earlier observations decays with each new one; the total weight stays below twenty.
 const OBSERVATION_WEIGHT_DECAY: f64 = 0.95;
 
-/// Weight of the prior that an engine is as fast as its pool. It also keeps the paces of all engines from drifting away
-/// from the speed of the pool together.
+/// Weight of the prior that an engine is as fast as its pool. It also prevents a common drift of the paces of all
+/// engines away from the speed of the pool.
 const POOL_PACE_PRIOR_WEIGHT: f64 = 2.0;
 
 /// Maximum factor by which one observation may deviate from the current estimate; larger deviations are clamped.
 const MAX_OBSERVATION_DEVIATION: f64 = 2.5;
 
-/// Minimum and maximum of the factor.
+/// Minimum and maximum of the long-term factor.
 const LONG_TERM_FACTOR_BOUNDS: (f64, f64) = (0.2, 20.0);
 
 /// Minimum deviation from the current estimate, as a factor, at which an observation counts as an outlier.
--- a/crates/core/src/routing/pool/pace/pool_pace.rs
+++ b/crates/core/src/routing/pool/pace/pool_pace.rs
@@ -47,12 +47,12 @@
 pub(in crate::routing::pool) struct PaceObservation {
     /// Kind of the work; each kind has its own baseline.
     pub(in crate::routing::pool) kind: ObservedWork,
-    /// Time expected from the pool's speeds, in seconds.
-    pub(in crate::routing::pool) expected: f64,
-    /// Measured time, in seconds.
-    pub(in crate::routing::pool) took: f64,
+    /// Duration expected from the speeds of the pool.
+    pub(in crate::routing::pool) expected_seconds: f64,
+    /// Measured duration of the work.
+    pub(in crate::routing::pool) measured_seconds: f64,
     /// Momentary pace of the engine during the work.
-    pub(in crate::routing::pool) momentary: f64,
+    pub(in crate::routing::pool) momentary_pace: f64,
 }
 
 /// Pace statistics of a pool.
--- a/crates/core/src/routing/pool/pace/report.rs
+++ b/crates/core/src/routing/pool/pace/report.rs
@@ -10,7 +10,7 @@
     pub engine: SubjectHandle,
     /// Time that work takes on the machine, in percent of the usual time.
     pub percent: u16,
-    /// Its age when it was sent, in milliseconds.
+    /// Age of the pace when the report was sent, in milliseconds.
     pub age_millis: u16,
 }
 
@@ -35,7 +35,7 @@
 }
 
 impl PaceReports {
-    /// Whether there is nothing in it.
+    /// Whether there are no reports.
     pub fn is_empty(&self) -> bool {
         self.figures.is_empty() && self.lasting.is_empty()
     }
--- a/crates/core/src/routing/pool/pace/router.rs
+++ b/crates/core/src/routing/pool/pace/router.rs
@@ -137,15 +137,17 @@
             return;
         };
         let PaceObservation {
-            expected,
-            took,
-            momentary,
+            expected_seconds,
+            measured_seconds,
+            momentary_pace,
             ..
         } = observation;
-        let weight = expected / (expected + HALF_WEIGHT_EXPECTED_SECONDS);
-        let long_term_ratio = (took + RATIO_OFFSET_SECONDS) / (expected * momentary + RATIO_OFFSET_SECONDS);
+        let weight = expected_seconds / (expected_seconds + HALF_WEIGHT_EXPECTED_SECONDS);
+        let long_term_ratio = (measured_seconds + RATIO_OFFSET_SECONDS)
+            / (expected_seconds * momentary_pace + RATIO_OFFSET_SECONDS);
         let long_term = state.pace.long_term.factor();
-        let momentary_ratio = (took + RATIO_OFFSET_SECONDS) / (expected * long_term + RATIO_OFFSET_SECONDS);
+        let momentary_ratio =
+            (measured_seconds + RATIO_OFFSET_SECONDS) / (expected_seconds * long_term + RATIO_OFFSET_SECONDS);
         let pool_pace = self.paces.entry(state.engine.pool.clone()).or_default();
         let ratio = pool_pace.relative_to_baseline(observation.kind, long_term_ratio, long_term);
         state.pace.long_term.observe(ratio, weight);
@@ -196,18 +198,18 @@
         if !state.pace.is_enabled || work.output_tokens < MIN_OUTPUT_TOKENS || took < MIN_OUTPUT_DURATION {
             return;
         }
-        let momentary = (work.momentary_pace + state.pace.momentary_factor(now)) / 2.0;
-        let factor = momentary * state.pace.long_term.factor();
+        let momentary_pace = (work.momentary_pace + state.pace.momentary_factor(now)) / 2.0;
+        let factor = momentary_pace * state.pace.long_term.factor();
         let tokens = f64::from(work.output_tokens);
         let pool_pace = self.paces.entry(state.engine.pool.clone()).or_default();
         pool_pace.observe_output(took.as_secs_f64() / tokens / factor);
         if let Some(token_seconds) = pool_pace.token_seconds() {
-            let expected = token_seconds * tokens;
+            let expected_seconds = token_seconds * tokens;
             let observation = PaceObservation {
                 kind: ObservedWork::Decode,
-                expected,
-                took: took.as_secs_f64(),
-                momentary,
+                expected_seconds,
+                measured_seconds: took.as_secs_f64(),
+                momentary_pace,
             };
             self.observe_pace(engine, observation, now);
         }
--- a/crates/core/src/routing/pool/paths.rs
+++ b/crates/core/src/routing/pool/paths.rs
@@ -107,7 +107,7 @@
     /// Zone of the engine.
     to: ZoneId,
     sent_at: MonotonicTime,
-    at: MonotonicTime,
+    timed_out_at: MonotonicTime,
 }
 
 impl UnansweredRequest {
@@ -116,14 +116,14 @@
         to: &ZoneId,
         engine: SubjectHandle,
         sent_at: MonotonicTime,
-        at: MonotonicTime,
+        timed_out_at: MonotonicTime,
     ) -> Self {
         Self {
             engine,
             from: from.clone(),
             to: to.clone(),
             sent_at,
-            at,
+            timed_out_at,
         }
     }
 }
@@ -136,7 +136,7 @@
     /// Earliest possible time of the last answer.
     answered_at: MonotonicTime,
     /// Moving average of the time between two answers, in seconds; absent before the second answer.
-    mean_gap: Option<f64>,
+    mean_answer_gap: Option<f64>,
     /// Unanswered requests since the last answer, at most one per engine.
     unanswered_requests: Vec<UnansweredRequest>,
     phase: Phase,
@@ -164,7 +164,7 @@
         sent_at: MonotonicTime,
         now: MonotonicTime,
     ) {
-        self.add_missing(from, to);
+        self.add_missing_paths(from, to);
         let request = UnansweredRequest::new(from, to, engine, sent_at, now);
         let paths = self.paths.iter_mut().filter(|path| path.connects(from, to));
         let changes = paths.filter_map(|path| path.on_unanswered_request(&request, engine_count, now));
@@ -183,10 +183,10 @@
         sent_at: MonotonicTime,
         now: MonotonicTime,
     ) {
-        self.add_missing(from, to);
+        self.add_missing_paths(from, to);
         let request = UnansweredRequest::new(from, to, engine, sent_at, now);
         let paths = self.paths.iter_mut().filter(|path| path.connects(from, to));
-        let combined = paths.filter(|path| path.other_zone.is_none() && path.has_gone_quiet(now));
+        let combined = paths.filter(|path| path.other_zone.is_none() && path.lacks_recent_answer(now));
         let changes = combined.filter_map(|path| path.on_unanswered_request(&request, engine_count, now));
         self.changes.extend(changes);
         self.changes.truncate(MAX_PENDING_PATH_CHANGES);
@@ -194,7 +194,7 @@
 
     /// Records that zone `to` answered a request from zone `from`, at `now` or later.
     pub fn record_answer(&mut self, from: &ZoneId, to: &ZoneId, now: MonotonicTime) {
-        self.add_missing(from, to);
+        self.add_missing_paths(from, to);
         let paths = self.paths.iter_mut().filter(|path| path.connects(from, to));
         let changes = paths.filter_map(|path| path.on_answer(now));
         self.changes.extend(changes);
@@ -204,7 +204,7 @@
     /// Records that a request is sent. Over a suspected path it is a trial and increases the interval to the next one.
     pub fn record_request(&mut self, from: &ZoneId, to: &ZoneId, now: MonotonicTime) {
         let paths = self.paths.iter_mut().filter(|path| path.connects(from, to));
-        paths.for_each(|path| path.on_sent(now));
+        paths.for_each(|path| path.on_request_sent(now));
     }
 
     /// Whether a request may be sent from one zone to another. `draw` is a random number of the request. A request that
@@ -233,7 +233,7 @@
     }
 
     /// Adds the path between two zones and their combined paths, unless present.
-    fn add_missing(&mut self, from: &ZoneId, to: &ZoneId) {
+    fn add_missing_paths(&mut self, from: &ZoneId, to: &ZoneId) {
         if from == to {
             return;
         }
@@ -257,7 +257,7 @@
             zone: zone.clone(),
             other_zone: other_zone.cloned(),
             answered_at: MonotonicTime::default(),
-            mean_gap: None,
+            mean_answer_gap: None,
             unanswered_requests: Vec::new(),
             phase: Phase::Trusted,
         }
@@ -296,7 +296,7 @@
             return None;
         }
         let is_recent = |other: &UnansweredRequest| {
-            other.engine != request.engine && now.since(other.at) < UNANSWERED_REQUEST_WINDOW
+            other.engine != request.engine && now.since(other.timed_out_at) < UNANSWERED_REQUEST_WINDOW
         };
         self.unanswered_requests.retain(is_recent);
         self.unanswered_requests.push(request.clone());
@@ -339,7 +339,7 @@
     }
 
     fn on_answer(&mut self, now: MonotonicTime) -> Option<PathChange> {
-        self.observe_gap(now);
+        self.observe_answer_gap(now);
         self.answered_at = self.answered_at.max(now);
         let change = match self.phase {
             Phase::Suspected { since, .. } if now > since => {
@@ -357,23 +357,23 @@
         change
     }
 
-    fn observe_gap(&mut self, now: MonotonicTime) {
+    fn observe_answer_gap(&mut self, now: MonotonicTime) {
         if self.answered_at == MonotonicTime::default() {
             return;
         }
         let gap = now.since(self.answered_at).min(MAX_ANSWER_GAP).as_secs_f64();
-        let mean = self.mean_gap.unwrap_or(gap);
-        self.mean_gap = Some(mean + ANSWER_GAP_WEIGHT * (gap - mean));
+        let mean = self.mean_answer_gap.unwrap_or(gap);
+        self.mean_answer_gap = Some(mean + ANSWER_GAP_WEIGHT * (gap - mean));
     }
 
     /// Whether there has been no answer for much longer than the mean gap.
-    fn has_gone_quiet(&self, now: MonotonicTime) -> bool {
+    fn lacks_recent_answer(&self, now: MonotonicTime) -> bool {
         let quiet_seconds = now.since(self.answered_at).as_secs_f64();
-        self.mean_gap
+        self.mean_answer_gap
             .is_some_and(|mean| quiet_seconds >= mean * MIN_QUIET_TO_MEAN_GAP_RATIO)
     }
 
-    fn on_sent(&mut self, now: MonotonicTime) {
+    fn on_request_sent(&mut self, now: MonotonicTime) {
         if let Phase::Suspected {
             next_trial_at,
             trial_interval,
--- a/crates/core/src/routing/pool/working_set/groups.rs
+++ b/crates/core/src/routing/pool/working_set/groups.rs
@@ -21,12 +21,12 @@
     pub(super) in_use: BTreeSet<SubjectHandle>,
     /// Engines that are listed, not leaving and not in use.
     pub(super) reserve: BTreeMap<SubjectHandle, PoolEngine>,
-    /// Engines that the recent load needs; decays after a peak.
+    /// Number of engines that the recent load needs; decays after a peak.
     pub(super) wanted: f64,
-    /// Engines in use that took no work at the last update.
+    /// Number of engines in use that took no work at the last update.
     pub(super) unusable: usize,
-    /// Engines in use when the last change was logged.
-    last_logged: usize,
+    /// Number of engines in use when the last change was logged.
+    last_logged_in_use: usize,
 }
 
 impl Group {
@@ -90,7 +90,7 @@
                 reserve: BTreeMap::new(),
                 wanted: settings.min_in_group as f64,
                 unusable: 0,
-                last_logged: 0,
+                last_logged_in_use: 0,
             });
             self.groups.len() - 1
         });
@@ -115,10 +115,10 @@
     /// Queues a change for the log for each group whose number of engines in use differs from the logged one.
     pub(super) fn queue_changes_for_log(&mut self) {
         for group in &mut self.groups {
-            if group.last_logged != group.in_use.len()
+            if group.last_logged_in_use != group.in_use.len()
                 && self.unlogged_changes.len() < MAX_UNLOGGED_GROUP_CHANGES
             {
-                group.last_logged = group.in_use.len();
+                group.last_logged_in_use = group.in_use.len();
                 self.unlogged_changes.push(WorkingSetChange {
                     pool: group.pool.clone(),
                     zone: group.zone.clone(),
--- a/crates/core/src/routing/pool/working_set/load.rs
+++ b/crates/core/src/routing/pool/working_set/load.rs
@@ -6,7 +6,7 @@
 use crate::time::MonotonicTime;
 use std::time::Duration;
 
-/// Seconds of queued prefill that count as one busy engine. About this long a queue makes short prompts late.
+/// Seconds of queued prefill that count as one busy engine. A queue of about this length makes short prompts late.
 const PREFILL_SECONDS_PER_BUSY_ENGINE: f64 = 0.5;
 
 /// Load of the engines in use of a group.
@@ -14,7 +14,7 @@
 pub(super) struct GroupLoad {
     /// Number of engines that the work would keep busy.
     pub(super) busy_engines: f64,
-    /// Engines in use that take no work now.
+    /// Number of engines in use that take no work now.
     pub(super) unusable: usize,
 }
 
@@ -33,7 +33,7 @@
         (self.prefill_seconds(prefill_speed, tokens, now) / PREFILL_SECONDS_PER_BUSY_ENGINE).max(1.0)
     }
 
-    /// Whether a new request would be served without waiting for another one.
+    /// Whether a new request would be served without waiting for other requests.
     pub(super) fn is_idle(&self, now: MonotonicTime) -> bool {
         match self.engine.stage {
             EngineStage::Prefill => self.load(now).all_prompt_tokens() == 0.0,
--- a/crates/core/src/routing/pool/working_set/mod.rs
+++ b/crates/core/src/routing/pool/working_set/mod.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct WorkingSetSettings {
-    /// Largest number of listed engines at which all engines of a pool are in use.
+    /// Maximum number of listed engines of a pool at which all of them are in use.
     #[serde(rename = "whole_up_to")]
     pub use_all_up_to: usize,
     /// Minimum number of engines in use per pool, zone and stage; absorbs bursts and engine failures.
